--- a/api.go
+++ b/api.go
@@ -28,33 +28,33 @@
 type UpstreamID uint32
 
 // Repeat says whether a class may run more than once, safest first.
-type Repeat uint8
+type Idempotency uint8
 
 const (
-	Safe   Repeat = iota // may run any number of times
-	Keyed                // a group of upstreams drops repeats for Class.Memory
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may run any number of times
+	IdempotentByKey                    // a group of upstreams drops repeats for Class.Memory
+	NonIdempotent                      // must never run twice
 )
 
 // Group says which upstreams drop a keyed request's repeats.
-type Group uint8
+type DedupScope uint8
 
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class is one kind of request.
 type Class struct {
-	Name      string
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // the client's total wait
-	Repeat    Repeat
-	Group     Group         // for Keyed
-	Memory    time.Duration // for Keyed: how long repeats are dropped
-	Worth     float64
-	LateWorth float64 // fraction of Worth between Aim and Deadline
+	Name          string
+	LatencyTarget time.Duration // answers within it earn full worth
+	Deadline      time.Duration // the client's total wait
+	Idempotency   Idempotency
+	DedupScope    DedupScope    // for Keyed
+	DedupWindow   time.Duration // for Keyed: how long repeats are dropped
+	Worth         float64
+	LateWorth     float64 // fraction of Worth between Aim and Deadline
 }
 
 // Tenant is a customer with a share of the service.
@@ -65,42 +65,42 @@
 
 // Limits is what the site permits.
 type Limits struct {
-	Cancel       bool
-	Probes       bool
-	SecondCopies bool
-	RetryAfter   bool
-	MaxRetry     time.Duration // longest wait a client honours
-	MaxAttempts  int
+	Cancel        bool
+	Probes        bool
+	Hedging       bool
+	RetryAfter    bool
+	MaxRetryAfter time.Duration // longest wait a client honours
+	MaxAttempts   int
 }
 
 // Rules holds the figures of the drain and cold-start rules.
-type Rules struct {
-	AskWithin    time.Duration // discovery on request: ask at least this often
-	ColdFrom     float64       // an upstream starts at this share of capacity or more
-	RampTime     time.Duration // and is warm no later than this
-	TipMultiple  float64       // sent more than this multiple of present capacity
-	TipAfter     time.Duration // for this long, a cold upstream falls over
-	DrainGrace   time.Duration // sends to a draining upstream must cease within this
-	AnswerWithin time.Duration // slack of a final answer after the client's deadline
+type Requirements struct {
+	MaxDiscoveryInterval time.Duration // discovery on request: ask at least this often
+	ColdCapacity         float64       // an upstream starts at this share of capacity or more
+	WarmupTime           time.Duration // and is warm no later than this
+	OverloadFactor       float64       // sent more than this multiple of present capacity
+	OverloadWindow       time.Duration // for this long, a cold upstream falls over
+	DrainGrace           time.Duration // sends to a draining upstream must cease within this
+	AnswerSlack          time.Duration // slack of a final answer after the client's deadline
 }
 
 // WeightKind says what Upstream.Weight means.
 type WeightKind uint8
 
 const (
-	WeightNone    WeightKind = iota // always one
-	WeightNominal                   // size
-	WeightRough                     // size, approximately
-	WeightLive                      // size lowered by load some time ago
+	WeightNone         WeightKind = iota // always one
+	WeightNominal                        // size
+	WeightApproximate                    // size, approximately
+	WeightLoadAdjusted                   // size lowered by load some time ago
 )
 
 // ReportVia says how load reports arrive.
-type ReportVia uint8
+type ReportMode uint8
 
 const (
-	ReportNone    ReportVia = iota
-	ReportAnswers           // within outcomes and probe results
-	ReportProbes            // within probe results only
+	ReportNone        ReportMode = iota
+	ReportInResponses            // within outcomes and probe results
+	ReportInProbes               // within probe results only
 )
 
 // Settings is what a Balancer is told at its start, and again whenever they change.
@@ -110,13 +110,13 @@
 	Rank           int // of this instance among them, from 0
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64 // worth of traffic over a tenant's quota
+	OverQuotaWorth float64 // worth of traffic over a tenant's quota
 	WorthByWork    bool    // worth counts per unit of work, not per request
 	Limits         Limits
-	Rules          Rules
-	OnRequest      bool // discovery answers only when asked
+	Requirements   Requirements
+	PollDiscovery  bool // discovery answers only when asked
 	Weights        WeightKind
-	Reports        ReportVia
+	Reports        ReportMode
 	Granularity    time.Duration // least spacing of event batches
 }
 
@@ -126,7 +126,7 @@
 const (
 	Active State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Upstream is one entry of a discovery list.
@@ -153,16 +153,16 @@
 
 // Request is a client's request.
 type Request struct {
-	ID     RequestID
-	Budget time.Duration // the client gives up this try after it
-	Class  string        // a name from Settings.Classes
-	Terms  *Class        // the class as the plan had it by which it was read; nil: as it is in force
-	Tenant string        // a name from Settings.Tenants, or empty; where there are none, any
-	Key    uint64        // subject of the request, if HasKey
-	HasKey bool
-	Retry  bool
-	Cost   time.Duration // hint: work on a standard core; 0: unknown
-	Open   bool          // its body still comes and passes to one upstream; Budget counts from Whole
+	ID            RequestID
+	Budget        time.Duration // the client gives up this try after it
+	Class         string        // a name from Settings.Classes
+	ClassSettings *Class        // the class as the plan had it by which it was read; nil: as it is in force
+	Tenant        string        // a name from Settings.Tenants, or empty; where there are none, any
+	Key           uint64        // subject of the request, if HasKey
+	HasKey        bool
+	Retry         bool
+	Cost          time.Duration // hint: work on a standard core; 0: unknown
+	Streaming     bool          // its body still comes and passes to one upstream; Budget counts from Whole
 }
 
 // Status is how an attempt or probe ended.
@@ -172,16 +172,16 @@
 const (
 	OK            Status = iota
 	Error                // the upstream answered with an error
-	Full                 // * turned away unseen
+	Rejected             // * turned away unseen
 	Timeout              // no answer in time
 	ConnectFailed        // * no connection in time
 	Reset                // connection lost
 	Cancelled            // stopped by Cancel
-	Moot                 // * never sent
+	NotSent              // * never sent
 )
 
 // NeverRan tells whether s proves that the request never ran.
-func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
 // LoadField is a bit for each value that a Load holds.
 type LoadField uint8
@@ -190,32 +190,32 @@
 	HasUtil LoadField = 1 << iota
 	HasInflight
 	HasQueue
-	HasService
-	HasRate
-	HasErrors
+	HasServiceTime
+	HasRequestRate
+	HasErrorRate
 )
 
 // Load is an upstream's load report; Fields tells which values it holds.
 type Load struct {
-	Fields   LoadField
-	Util     float64 // share of CPU busy
-	Inflight float64 // requests held
-	Queue    float64 // requests waiting
-	Service  float64 // recent service time, ms
-	Rate     float64 // requests served a second
-	Errors   float64 // errors a second
+	Fields      LoadField
+	Util        float64 // share of CPU busy
+	Inflight    float64 // requests held
+	Queue       float64 // requests waiting
+	ServiceTime float64 // recent service time, ms
+	RequestRate float64 // requests served a second
+	ErrorRate   float64 // errors a second
 }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID       RequestID
-	Upstream UpstreamID
-	Attempt  int // order of the request's Sends, from 0
-	Latency  time.Duration
-	Status   Status
-	Closed   bool // the request is finished, now or earlier
-	Spent    bool // what was sent of an open request can't be sent again
-	Load     Load
+	ID           RequestID
+	Upstream     UpstreamID
+	Attempt      int // order of the request's Sends, from 0
+	Latency      time.Duration
+	Status       Status
+	RequestDone  bool // the request is finished, now or earlier
+	BodyConsumed bool // what was sent of an open request can't be sent again
+	Load         Load
 }
 
 // ProbeResult is the end of one probe.
@@ -246,14 +246,14 @@
 type Events interface {
 	Members(now time.Duration, mode ListMode, list []Upstream)
 	Request(now time.Duration, r Request)
-	Whole(now time.Duration, id RequestID) // the last byte of an open request has come
-	Started(now time.Duration, o Outcome)  // an answer has begun that passes on as it comes; its Outcome follows
+	BodyComplete(now time.Duration, id RequestID) // the last byte of an open request has come
+	ResponseStarted(now time.Duration, o Outcome) // an answer has begun that passes on as it comes; its Outcome follows
 	Outcome(now time.Duration, o Outcome)
-	Gone(now time.Duration, id RequestID) // the client left, nothing more is owed
+	ClientGone(now time.Duration, id RequestID) // the client left, nothing more is owed
 	Probed(now time.Duration, p ProbeResult)
 	Timer(now time.Duration, token uint64)
-	Maintain(now time.Duration, id UpstreamID, out bool) // operators leave an upstream out, or use it again
-	Reconfigure(now time.Duration, p *Plan, c Change)    // p is in force from now on, and c what it changes
+	SetMaintenance(now time.Duration, id UpstreamID, out bool) // operators leave an upstream out, or use it again
+	Reconfigure(now time.Duration, p *Plan, c PlanDiff)        // p is in force from now on, and c what it changes
 }
 
 var _ Events = (*Balancer)(nil)
--- a/balancer.go
+++ b/balancer.go
@@ -66,27 +66,27 @@
 // New returns a Balancer, or an error that names the setting that is wrong.
 func New(s Settings, seed uint64, now time.Duration, host Host) (*Balancer, error) {
 	if host == nil {
-		return nil, bad("Host is nil")
+		return nil, invalidSetting("Host is nil")
 	}
 	p, err := NewPlan(s, func() {})
 	if err != nil {
 		return nil, err
 	}
-	return NewWith(p, seed, now, host), nil
+	return NewWithPlan(p, seed, now, host), nil
 }
 
 // NewWith returns a Balancer that goes by a plan, which others may share.
-func NewWith(p *Plan, seed uint64, now time.Duration, host Host) *Balancer {
+func NewWithPlan(p *Plan, seed uint64, now time.Duration, host Host) *Balancer {
 	b := &Balancer{host: host, rng: rand.New(rand.NewPCG(seed, 0)), classes: map[string]*classStatistics{},
 		tenants: map[string]*tenant{}, requests: map[RequestID]*request{},
 		byID: map[UpstreamID]*upstream{}, off: map[UpstreamID]bool{}, logged: map[string]time.Duration{},
 		stepAt: now, tightAt: now, doubt: 1}
 	b.adopt(p)
 	b.gather(now)
-	b.lat = float64(p.shortest) / 4 // until answers tell
+	b.lat = float64(p.minTarget) / 4 // until answers tell
 	host.SetTimer(b.tick, tickToken)
-	if b.s.OnRequest { // not all balancers at once, also where a release has started them together; yet soon:
-		// what changed while this one was down counts as told no later for that
+	if b.s.PollDiscovery { // not all balancers at once, also where a release has started them together;
+		// yet soon: what changed while this one was down counts as told no later for that
 		host.SetTimer(time.Duration(b.turnOf()*firstCalls*float64(b.turnOfCalls())), watchToken)
 	}
 	return b
@@ -97,13 +97,13 @@
 // maySend alone decides whether r may be sent (again), and whether u may take it.
 func (b *Balancer) maySend(r *request, u *upstream, now time.Duration) bool {
 	if r.done || r.spent || now >= r.deadline || !b.open(u) ||
-		len(r.attempts) >= b.s.Limits.MaxAttempts || (r.out > 0 && (r.Open || !b.s.Limits.SecondCopies)) {
+		len(r.attempts) >= b.s.Limits.MaxAttempts || (r.out > 0 && (r.Streaming || !b.s.Limits.Hedging)) {
 		return false
 	}
 	for _, a := range r.attempts {
-		if !a.neverRan && (r.class.Repeat == Unsafe || (r.class.Repeat == Keyed &&
-			(now-a.sentAt >= r.class.Memory-b.tick || (r.class.Group == GroupZone && a.up.Zone != u.Zone) ||
-				(r.class.Group == GroupCell && a.up.Cell != u.Cell)))) {
+		if !a.neverRan && (r.class.Idempotency == NonIdempotent || (r.class.Idempotency == IdempotentByKey &&
+			(now-a.sentAt >= r.class.DedupWindow-b.tick || (r.class.DedupScope == DedupZone && a.up.Zone != u.Zone) ||
+				(r.class.DedupScope == DedupCell && a.up.Cell != u.Cell)))) {
 			return false
 		}
 	}
@@ -112,7 +112,8 @@
 
 // mayRefuse alone decides whether the client may be told that a retry is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.class.Repeat == Safe || (r.class.Repeat == Keyed && r.class.Group == GroupAll) ||
+	return r.class.Idempotency == Idempotent ||
+		(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAll) ||
 		!slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
@@ -122,9 +123,9 @@
 		b.host.Refuse(q.ID, 0) // and it helps as little later
 		return
 	}
-	c := b.class(q.Class, q.Terms)
+	c := b.class(q.Class, q.ClassSettings)
 	r := &request{Request: q, class: c, units: cmp.Or(c.lat/b.lat, 1), deadline: now + q.Budget,
-		worth: c.Worth, coming: q.Open}
+		worth: c.Worth, coming: q.Streaming}
 	if q.Cost > 0 {
 		follow(&b.cost, float64(q.Cost), smoothing*smoothing)
 		r.units = max(float64(q.Cost)/b.cost, smoothing)
@@ -133,18 +134,18 @@
 		r.worth /= r.units
 	}
 	if r.over = b.over(r, now); r.over {
-		r.worth *= b.s.OverShareWorth
+		r.worth *= b.s.OverQuotaWorth
 	}
 	// A try of the usual budget may be a first one. Any other was given what is left of the deadline, a last one
 	// more than usual, and so shows its age. Past the aim it would take the turns of those in time.
 	// The more a class is worth, the sooner a small chance to be in time outweighs what a cheap one is sure of.
 	spare := time.Duration((sendSpare - c.LateWorth) * cmp.Or(c.lat, b.lat) * b.plan.stake(c.Worth))
-	if !c.usual(q.Budget) && c.Aim-(c.Deadline-q.Budget) < spare {
+	if !c.usual(q.Budget) && c.LatencyTarget-(c.Deadline-q.Budget) < spare {
 		r.worth *= c.LateWorth
 	}
 	// Held for half of its time at most: refused then, the client's next try can still be in time, and is no
 	// late one that takes turns. The held are looked at once a tick: without one in hand a short budget ran out.
-	r.sendBy = now + (min(c.Aim, q.Budget)-max(spare, b.tick))/2 - b.tick
+	r.sendBy = now + (min(c.LatencyTarget, q.Budget)-max(spare, b.tick))/2 - b.tick
 	b.requests[r.ID] = r
 	if r.worth == 0 && now-b.tightAt < time.Duration(b.lat) { // turns are short
 		b.giveUp(r, now)
@@ -173,8 +174,8 @@
 	timeout := time.Duration(0) // until the client quits: work half done is worth more than work begun anew
 	if u.silent {
 		u.trialAt = now + u.wait
-		u.wait = min(u.wait*waitGrowth, max(u.wait, b.s.Rules.RampTime))
-		if r.class.Repeat != Unsafe { // a trial leaves time for another attempt
+		u.wait = min(u.wait*waitGrowth, max(u.wait, b.s.Requirements.WarmupTime))
+		if r.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
 			timeout = b.patience(u, r.units)
 		}
 	}
@@ -183,7 +184,7 @@
 	u.outs, u.carried, u.spent = append(u.outs, a), u.carried+r.units, u.spent+max(1, r.units)
 	u.spentAt = now
 	b.sends++
-	b.host.Send(r.ID, u.ID, timeout, r.class.Memory-b.tick)
+	b.host.Send(r.ID, u.ID, timeout, r.class.DedupWindow-b.tick)
 }
 
 // giveUp gives the final answer to a request that is not served.
@@ -201,7 +202,7 @@
 	if !b.s.Limits.RetryAfter {
 		return 0
 	}
-	soonest, room := b.s.Limits.MaxRetry, 0.0
+	soonest, room := b.s.Limits.MaxRetryAfter, 0.0
 	for _, u := range b.near {
 		if u.member && b.open(u) {
 			at := u.freeAt
@@ -212,7 +213,7 @@
 		}
 	}
 	turns := time.Duration(b.lat * float64(len(b.held)+1) / max(1, room))
-	return min(max(soonest, turns), b.s.Limits.MaxRetry)
+	return min(max(soonest, turns), b.s.Limits.MaxRetryAfter)
 }
 
 // finish notes that r has its answer, its stream, or nobody who waits. What else is out is not cancelled: the
@@ -227,14 +228,14 @@
 }
 
 // Gone drops a request whose client has left.
-func (b *Balancer) Gone(now time.Duration, id RequestID) {
+func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.done {
 		b.finish(r)
 	}
 }
 
 // Whole begins the time of an open request, and that of the attempt that its body went to.
-func (b *Balancer) Whole(now time.Duration, id RequestID) {
+func (b *Balancer) BodyComplete(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.coming {
 		r.coming, r.deadline = false, now+r.Budget
 		for _, a := range r.attempts {
@@ -244,10 +245,10 @@
 }
 
 // Started takes an answer that has begun: all that it tells of its upstream is known, and its client has it.
-func (b *Balancer) Started(now time.Duration, o Outcome) {
+func (b *Balancer) ResponseStarted(now time.Duration, o Outcome) {
 	if r := b.requests[o.ID]; r != nil && !r.done && o.Attempt >= 0 && o.Attempt < len(r.attempts) {
 		a := r.attempts[o.Attempt]
-		b.learn(a, o.clean(), now)
+		b.learn(a, o.sanitized(), now)
 		a.begun = true
 		b.finish(r)
 		b.dispatch(now)
@@ -262,7 +263,7 @@
 	}
 	a := r.attempts[o.Attempt]
 	a.ended, a.neverRan = true, o.Status.NeverRan()
-	r.out, r.spent = r.out-1, r.spent || o.Spent
+	r.out, r.spent = r.out-1, r.spent || o.BodyConsumed
 	a.up.outs = slices.DeleteFunc(a.up.outs, func(x *attempt) bool { return x == a })
 	for _, x := range a.up.outs {
 		if x.sentAt < a.sentAt && o.Status == OK {
@@ -276,10 +277,10 @@
 		}
 	}
 	if !a.begun {
-		b.learn(a, o.clean(), now)
+		b.learn(a, o.sanitized(), now)
 	}
 	switch {
-	case r.done || o.Closed || o.Status == OK:
+	case r.done || o.RequestDone || o.Status == OK:
 		b.finish(r)
 	case r.out == 0 && !r.held: // else another copy may still answer, or a turn may come free
 		b.place(r, now)
@@ -292,7 +293,7 @@
 // learn draws from an outcome what it tells about its upstream.
 func (b *Balancer) learn(a *attempt, o Outcome, now time.Duration) {
 	u, r := a.up, a.r
-	if o.Status == OK || o.Status == Error || o.Status == Full {
+	if o.Status == OK || o.Status == Error || o.Status == Rejected {
 		b.answered(u, now)
 	}
 	b.countTurnedAway(u, o.Status, now)
@@ -305,7 +306,7 @@
 		follow(&u.units, max(r.units, 0.5), w) // small ones have a fixed part too
 		follow(&b.lat, float64(o.Latency), smoothing)
 		follow(&r.class.lat, float64(o.Latency), smoothing)
-		per, aim := u.lat/u.units, float64(r.class.Aim)
+		per, aim := u.lat/u.units, float64(r.class.LatencyTarget)
 		follow(&u.slow, per, smoothing)
 		follow(&u.least, per, leastDrift)
 		follow(&u.calm, u.slow, leastDrift)
@@ -322,18 +323,18 @@
 			spare := aim/float64(o.Latency) - 1
 			u.bound = max(u.bound, min(u.bound+min(1, boundGrowth*spare*spare), u.most, b.start*boundMost/boundStart))
 		}
-	case Full, Timeout:
+	case Rejected, Timeout:
 		b.shrink(u, now, boundCut*boundCut)
 	case ConnectFailed, Reset: // down, or its connection table is full: ask less often
 		if !u.silent { // else its trials are spaced already
 			u.freeAt = now + u.wait
-			u.wait = min(u.wait*waitGrowth, b.s.Rules.RampTime)
+			u.wait = min(u.wait*waitGrowth, b.s.Requirements.WarmupTime)
 		}
 	}
 	p := b.pause(u) // one left idle has an attempt in hand: requests come by chance
 	u.freeAt = max(u.freeAt, min(now, max(u.freeAt, a.sentAt-p)+now-a.sentAt)+p)
-	if b.s.Reports != ReportProbes {
-		b.read(u, o.Load, o.Status == OK, float64(o.Latency)/float64(r.class.Aim), now)
+	if b.s.Reports != ReportInProbes {
+		b.read(u, o.Load, o.Status == OK, float64(o.Latency)/float64(r.class.LatencyTarget), now)
 	}
 }
 
@@ -363,8 +364,8 @@
 		if u.member {
 			mine++
 		}
-		if u.member && u.answers > 0 && u.last.Rate > 0 {
-			own, all = own+u.answers, all+u.last.Rate*(now-b.stepAt).Seconds()
+		if u.member && u.answers > 0 && u.last.RequestRate > 0 {
+			own, all = own+u.answers, all+u.last.RequestRate*(now-b.stepAt).Seconds()
 		}
 		u.answers = 0
 	}
@@ -387,7 +388,7 @@
 
 // Maintain leaves an upstream out until it is called back, whatever lists say of it. Back from work on it, it
 // is cold from now on, as far as anyone told, and its turn comes at once: what it once was tells nothing.
-func (b *Balancer) Maintain(now time.Duration, id UpstreamID, out bool) {
+func (b *Balancer) SetMaintenance(now time.Duration, id UpstreamID, out bool) {
 	if b.off[id] == out {
 		return
 	}
@@ -463,11 +464,11 @@
 // rescue starts the request of a, whose answer does not come, elsewhere, if it may run twice and has no other
 // copy out.
 func (b *Balancer) rescue(a *attempt, now time.Duration) {
-	if r := a.r; r.class.Repeat == Unsafe || r.Open || r.done || r.out > 1 {
+	if r := a.r; r.class.Idempotency == NonIdempotent || r.Streaming || r.done || r.out > 1 {
 		return
 	} else if v, _ := b.pick(r, now); v != nil {
 		b.send(r, v, now) // a second copy
-	} else if !b.s.Limits.SecondCopies && b.s.Limits.Cancel {
+	} else if !b.s.Limits.Hedging && b.s.Limits.Cancel {
 		b.host.Cancel(r.ID, slices.Index(r.attempts, a))
 	}
 }
@@ -481,7 +482,7 @@
 func (b *Balancer) eligible(u *upstream, r *request, now time.Duration) bool {
 	ok := now >= u.freeAt && float64(u.places()) < max(1, math.Round(u.bound))
 	if u.silent { // the safest class goes first as a trial
-		ok = now >= u.trialAt && !r.Open && (r.class.Repeat == b.safest || now >= u.trialAt+u.wait)
+		ok = now >= u.trialAt && !r.Streaming && (r.class.Idempotency == b.safest || now >= u.trialAt+u.wait)
 	}
 	return ok && (b.ramp(u, now) == 1 || b.coldRoom(u, r, now))
 }
@@ -543,7 +544,7 @@
 // Probed takes a probe's result: a reading only, since a shallow probe proves no more than a process.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
 	if u := b.byID[p.Upstream]; u != nil && p.Status == OK {
-		b.read(u, p.Load.clean(), false, 0, now)
+		b.read(u, p.Load.sanitized(), false, 0, now)
 	}
 }
 
@@ -560,7 +561,7 @@
 		b.step(now)
 	}
 	b.forget()
-	ask := b.s.Reports == ReportProbes && b.s.Limits.Probes
+	ask := b.s.Reports == ReportInProbes && b.s.Limits.Probes
 	for _, u := range b.near {
 		b.quiet(u, now)
 		if ask && u.member && now-u.probedAt >= bandPeriod {
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -33,7 +33,7 @@
 		t.Fatalf("request %d was not sent", id)
 	}
 	u := r.attempts[0].up
-	b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: 50 * ms, Status: OK, Closed: true})
+	b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 	return u
 }
 
@@ -110,14 +110,14 @@
 func TestStandInReadings(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		via  ReportVia
+		via  ReportMode
 		load Load
 		late float64
 		want float64
 	}{
-		{"utilisation", ReportAnswers, Load{Fields: HasUtil | HasQueue, Util: 0.7, Queue: 9}, 0.2, 0.7},
-		{"held", ReportAnswers, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
-		{"waiting", ReportAnswers, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
+		{"utilisation", ReportInResponses, Load{Fields: HasUtil | HasQueue, Util: 0.7, Queue: 9}, 0.2, 0.7},
+		{"held", ReportInResponses, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
+		{"waiting", ReportInResponses, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
 		{"no reports: latency against the aim", ReportNone, Load{}, 0.2, 0.2},
 	} {
 		s := settings()
@@ -200,7 +200,7 @@
 		id := RequestID(10000 + i)
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second, Cost: ms})
 		if r := b.requests[id]; r != nil && r.out == 1 {
-			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, Closed: true})
+			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestDone: true})
 		}
 	}
 	toCold := 0
@@ -242,7 +242,7 @@
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 		if r := b.requests[id]; r != nil && r.out == 1 {
 			now += lat
-			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: lat, Status: OK, Closed: true})
+			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: lat, Status: OK, RequestDone: true})
 		}
 	}
 	for i := range 30 {
@@ -281,7 +281,7 @@
 
 func TestFailedDiscoveryIsAskedAgainLaterEachTime(t *testing.T) {
 	s := settings()
-	s.OnRequest = true
+	s.PollDiscovery = true
 	b, h := start(t, s, fleet(1))
 	b.Timer(time.Hour, watchToken)
 	if h.count("watch") != 1 {
@@ -305,7 +305,7 @@
 // drawn over seconds: a balancer that waited for its own sent to servers that were told as leaving.
 func TestStaleListIsAskedForAtOnce(t *testing.T) {
 	s := settings()
-	s.OnRequest, s.Balancers, s.Rules.AskWithin = true, 350, 10*time.Second
+	s.PollDiscovery, s.Balancers, s.Requirements.MaxDiscoveryInterval = true, 350, 10*time.Second
 	b, h := start(t, s, fleet(1))
 	var wait time.Duration
 	h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, n uint64) {
@@ -337,7 +337,7 @@
 	const told, served = 6 * time.Second, time.Second // as the standing test's page has it; the next call's own time
 	for _, balancers := range []int{1, 30, 300, 950} {
 		s := settings()
-		s.OnRequest, s.Balancers, s.Rules.AskWithin = true, balancers, 10*time.Second
+		s.PollDiscovery, s.Balancers, s.Requirements.MaxDiscoveryInterval = true, balancers, 10*time.Second
 		for seed := range 200 {
 			h := &recorder{}
 			var wait time.Duration
@@ -374,8 +374,8 @@
 func TestBalancersCallDiscoveryInTurn(t *testing.T) {
 	for _, balancers := range []int{2, 80} {
 		s := settings()
-		s.OnRequest, s.Balancers = true, balancers
-		turn := min(time.Duration(balancers)*callTime, s.Rules.AskWithin/2)
+		s.PollDiscovery, s.Balancers = true, balancers
+		turn := min(time.Duration(balancers)*callTime, s.Requirements.MaxDiscoveryInterval/2)
 		var first, second []time.Duration
 		for s.Rank = range balancers {
 			var waits []time.Duration
@@ -414,24 +414,24 @@
 		"Classes":                               func(s *Settings) { s.Classes = nil },
 		"Balancers":                             func(s *Settings) { s.Balancers = 0 },
 		"Limits.MaxAttempts":                    func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"Rules.TipAfter":                        func(s *Settings) { s.Rules.TipAfter = 0 },
-		"Rules.RampTime":                        func(s *Settings) { s.Rules.RampTime = 0 },
-		"Rules.TipMultiple":                     func(s *Settings) { s.Rules.TipMultiple = 0 },
-		"Rules.ColdFrom":                        func(s *Settings) { s.Rules.ColdFrom = 0 },
-		"Rules.AskWithin":                       func(s *Settings) { s.OnRequest, s.Rules.AskWithin = true, 0 },
-		"Aim":                                   func(s *Settings) { s.Classes[0].Aim = 0 },
+		"Rules.TipAfter":                        func(s *Settings) { s.Requirements.OverloadWindow = 0 },
+		"Rules.RampTime":                        func(s *Settings) { s.Requirements.WarmupTime = 0 },
+		"Rules.TipMultiple":                     func(s *Settings) { s.Requirements.OverloadFactor = 0 },
+		"Rules.ColdFrom":                        func(s *Settings) { s.Requirements.ColdCapacity = 0 },
+		"Rules.AskWithin":                       func(s *Settings) { s.PollDiscovery, s.Requirements.MaxDiscoveryInterval = true, 0 },
+		"Aim":                                   func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
 		"Deadline":                              func(s *Settings) { s.Classes[0].Deadline = ms },
-		"Memory":                                func(s *Settings) { s.Classes[1].Memory = 0 },
+		"Memory":                                func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 		"\"read\" is set twice":                 func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"Worth":                                 func(s *Settings) { s.Classes[2].Worth = -1 },
 		"Quota":                                 func(s *Settings) { s.Tenants[1].Quota = -1 },
 		"Rank":                                  func(s *Settings) { s.Rank = s.Balancers },
-		"OverShareWorth":                        func(s *Settings) { s.OverShareWorth = math.NaN() },
+		"OverShareWorth":                        func(s *Settings) { s.OverQuotaWorth = math.NaN() },
 		"Granularity":                           func(s *Settings) { s.Granularity = -1 },
 		"Weights":                               func(s *Settings) { s.Weights = 9 },
 		"Reports":                               func(s *Settings) { s.Reports = 9 },
-		"Repeat":                                func(s *Settings) { s.Classes[0].Repeat = 9 },
-		"Group":                                 func(s *Settings) { s.Classes[1].Group = 9 },
+		"Repeat":                                func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"Group":                                 func(s *Settings) { s.Classes[1].DedupScope = 9 },
 		"LateWorth":                             func(s *Settings) { s.Classes[0].LateWorth = math.Inf(1) },
 		"\"small\" is set twice or has a Quota": func(s *Settings) { s.Tenants[1].Quota = math.NaN() },
 		"\"big\" is set twice":                  func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
@@ -439,22 +439,22 @@
 		s := settings()
 		spoil(&s)
 		_, err := New(s, 1, 0, &recorder{})
-		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), field) {
+		if !errors.Is(err, ErrInvalidSettings) || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
 	}
-	refused := func(s Settings) bool { _, err := NewPlan(s, func() {}); return errors.Is(err, ErrSettings) }
+	refused := func(s Settings) bool { _, err := NewPlan(s, func() {}); return errors.Is(err, ErrInvalidSettings) }
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		s := settings()
-		if s.Rules.TipMultiple = f; !refused(s) {
+		if s.Requirements.OverloadFactor = f; !refused(s) {
 			t.Errorf("TipMultiple %v is taken", f)
 		}
 		s = settings()
-		if s.Rules.ColdFrom = f; !refused(s) {
+		if s.Requirements.ColdCapacity = f; !refused(s) {
 			t.Errorf("ColdFrom %v is taken", f)
 		}
 	}
-	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Host") {
+	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrInvalidSettings) || !strings.Contains(err.Error(), "Host") {
 		t.Errorf("no host: error %v", err)
 	}
 }
@@ -466,7 +466,7 @@
 	for i := range list {
 		list[i].Weight = odd[i]
 	}
-	b, h := start(t, settings(), append(list, list[0], Upstream{ID: 99, State: Gone, Weight: 1}))
+	b, h := start(t, settings(), append(list, list[0], Upstream{ID: 99, State: Removed, Weight: 1}))
 	now := time.Hour
 	for i := range 400 {
 		now += 20 * ms
@@ -474,7 +474,7 @@
 		b.Request(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(odd[i%3+2])})
 		if r := b.requests[id]; r != nil && r.out > 0 {
 			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
-			o := Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, Closed: true, Load: l}
+			o := Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, RequestDone: true, Load: l}
 			b.Outcome(now, o)
 			b.Outcome(now, o)
 		}
@@ -512,9 +512,9 @@
 	for now := time.Hour; now < time.Hour+time.Second; now += 10 * ms {
 		b.Timer(now, tickToken)
 	}
-	b.Gone(time.Hour+time.Second, 77)
-	b.Started(time.Hour+time.Second, Outcome{ID: 77})
-	b.Whole(time.Hour+time.Second, 77)
+	b.ClientGone(time.Hour+time.Second, 77)
+	b.ResponseStarted(time.Hour+time.Second, Outcome{ID: 77})
+	b.BodyComplete(time.Hour+time.Second, 77)
 	b.Outcome(time.Hour+time.Second, Outcome{ID: 4, Attempt: -1})
 	if h.count("refuse id=4") != 1 || h.count("send") != 0 {
 		t.Errorf("with an emptied list: %v", h.lines)
@@ -570,7 +570,7 @@
 		id := RequestID(i + 1)
 		bal.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 		if r := bal.requests[id]; r != nil && r.out > 0 {
-			bal.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+			bal.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 		}
 	}
 }
@@ -806,7 +806,7 @@
 // there never seemed to be time to hold it.
 func TestShortClassIsHeldByItsOwnLatency(t *testing.T) {
 	s := settings()
-	s.Classes[2].Aim = 200 * ms
+	s.Classes[2].LatencyTarget = 200 * ms
 	b, h := start(t, s, fleet(1))
 	for i := range 60 {
 		for j, c := range []struct {
@@ -816,7 +816,7 @@
 			now := time.Hour + time.Duration(2*i+j+1)*time.Second
 			id := RequestID(2*i + j + 1)
 			b.Request(now, Request{ID: id, Class: c.class, Budget: time.Second})
-			b.Outcome(now+c.lat, Outcome{ID: id, Upstream: 1, Latency: c.lat, Status: OK, Closed: true})
+			b.Outcome(now+c.lat, Outcome{ID: id, Upstream: 1, Latency: c.lat, Status: OK, RequestDone: true})
 		}
 	}
 	now := 2 * time.Hour
@@ -880,7 +880,7 @@
 func TestColdUpstreamIsUsedAtFullSizeWithinItsBudget(t *testing.T) {
 	const balancers, window = 200, 1500 * ms
 	s, sent := settings(), 0
-	s.Balancers, s.Rules.TipAfter = balancers, window
+	s.Balancers, s.Requirements.OverloadWindow = balancers, window
 	for s.Rank = range balancers {
 		h := &recorder{}
 		b, err := New(s, uint64(s.Rank), time.Hour, h)
@@ -898,7 +898,7 @@
 			now := time.Hour + time.Duration(i)*10*ms
 			b.Request(now, Request{ID: RequestID(i + 1), Class: "read", Budget: time.Second})
 			if r := b.requests[RequestID(i+1)]; r != nil && r.out > 0 {
-				b.Outcome(now, Outcome{ID: r.ID, Upstream: 3, Latency: 5 * ms, Status: OK, Closed: true})
+				b.Outcome(now, Outcome{ID: r.ID, Upstream: 3, Latency: 5 * ms, Status: OK, RequestDone: true})
 			}
 		}
 		sent += h.count("send")
@@ -928,7 +928,7 @@
 		b.byID[2].freeAt = now + time.Hour // all the traffic asks for the cold one
 		b.Request(now, Request{ID: RequestID(1000 + i), Class: "read", Budget: time.Second})
 		if r := b.requests[RequestID(1000+i)]; r != nil && r.out > 0 {
-			b.Outcome(now, Outcome{ID: r.ID, Upstream: u.ID, Latency: 50 * ms, Status: OK, Closed: true})
+			b.Outcome(now, Outcome{ID: r.ID, Upstream: u.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 		}
 	}
 	if sent := h.count("send") - before; !u.cold || sent < 10 {
@@ -951,8 +951,8 @@
 			id := RequestID(i + 1)
 			b.Request(now, Request{ID: id, Class: "read", Budget: time.Second})
 			if r := b.requests[id]; r != nil && r.out > 0 {
-				load := Load{Fields: HasUtil | HasRate, Util: use, Rate: float64(i)}
-				b.Outcome(now, Outcome{ID: id, Upstream: 1, Latency: 5 * ms, Status: OK, Closed: true, Load: load})
+				load := Load{Fields: HasUtil | HasRequestRate, Util: use, RequestRate: float64(i)}
+				b.Outcome(now, Outcome{ID: id, Upstream: 1, Latency: 5 * ms, Status: OK, RequestDone: true, Load: load})
 			}
 		}
 		sent[use] = h.count("send")
--- a/bands.go
+++ b/bands.go
@@ -91,7 +91,7 @@
 	b.least = b.rank(4, func(u *upstream) float64 { return u.least })
 	b.calm = b.rank(4, func(u *upstream) float64 { return u.calm })
 	b.ups = slices.DeleteFunc(b.ups, func(u *upstream) bool { // forget what is gone and owes nothing
-		gone := u.State == Gone && len(u.outs) == 0
+		gone := u.State == Removed && len(u.outs) == 0
 		if gone {
 			delete(b.byID, u.ID)
 		}
--- a/cmd/clayladder-sim/main.go
+++ b/cmd/clayladder-sim/main.go
@@ -72,11 +72,11 @@
 	case wire.Inbound:
 		b.Request(now, e.Request)
 	case wire.Established:
-		b.Started(now, e.Outcome)
+		b.ResponseStarted(now, e.Outcome)
 	case wire.Verdict:
 		b.Outcome(now, e.Outcome)
 	case wire.Lapsed:
-		b.Gone(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case wire.Elapsed:
 		b.Timer(now, e.Token)
 	case wire.Health:
--- a/discovery.go
+++ b/discovery.go
@@ -16,11 +16,11 @@
 		b.ask(now)
 		return
 	case ListFailed: // ask again, later each time and never all instances at once
-		b.watchWait = max(b.watchWait*waitGrowth, b.s.Rules.AskWithin/32)
+		b.watchWait = max(b.watchWait*waitGrowth, b.s.Requirements.MaxDiscoveryInterval/32)
 		if !b.stale {
 			b.watchWait = max(b.watchWait, b.turnOfCalls())
 		}
-		b.watchWait = min(b.watchWait, b.s.Rules.AskWithin/2)
+		b.watchWait = min(b.watchWait, b.s.Requirements.MaxDiscoveryInterval/2)
 		least, most := b.retryWindow(now)
 		wait := least + time.Duration(b.turnOf()*float64(min(b.watchWait*3/2, most)-least))
 		b.host.SetTimer(wait, watchToken)
@@ -31,11 +31,11 @@
 	named := make(map[UpstreamID]bool, len(list))
 	for _, e := range list {
 		named[e.ID] = true
-		b.member(e.clean(), now)
+		b.member(e.sanitized(), now)
 	}
 	for _, u := range b.ups {
 		if mode != ListDelta && !named[u.ID] {
-			u.State = Gone
+			u.State = Removed
 		}
 	}
 	b.gather(now)
@@ -72,13 +72,13 @@
 
 // turnOfCalls is the time in which discovery, that serves calls in turn, can serve one of each balancer.
 func (b *Balancer) turnOfCalls() time.Duration {
-	return min(time.Duration(b.s.Balancers)*callTime, b.s.Rules.AskWithin/2)
+	return min(time.Duration(b.s.Balancers)*callTime, b.s.Requirements.MaxDiscoveryInterval/2)
 }
 
 // member applies one list entry.
 func (b *Balancer) member(e Upstream, now time.Duration) {
 	u := b.byID[e.ID]
-	if u == nil && e.State == Gone {
+	if u == nil && e.State == Removed {
 		return
 	} else if u == nil {
 		u = &upstream{weight: e.Weight, factor: 1, most: boundStart, wait: b.tick, spentAt: now, answeredAt: now,
@@ -87,13 +87,13 @@
 	}
 	if e.StartedAt > max(u.StartedAt, u.backAt) { // new, or restarted under the same id
 		u.silent, u.freeAt = false, now
-		if now-e.StartedAt < b.s.Rules.RampTime {
+		if now-e.StartedAt < b.s.Requirements.WarmupTime {
 			b.chill(u, e.StartedAt)
 			u.spent, u.spentAt = b.rng.Float64(), now // not what it got while warm; drawn, or all begin at once
 		}
 	}
 	u.Upstream = e
-	if b.s.Weights == WeightLive { // late and the same for all: only its slow mean is safe to follow
+	if b.s.Weights == WeightLoadAdjusted { // late and the same for all: only its slow mean is safe to follow
 		e.Weight = u.weight + smoothing*(e.Weight-u.weight)
 	}
 	u.weight = max(e.Weight, math.SmallestNonzeroFloat32)
@@ -105,7 +105,7 @@
 	switch status {
 	case OK, Error:
 		u.turnedAway = 0
-	case Full:
+	case Rejected:
 		u.turnedAway++
 		if b.listInDoubt && u.turnedAway >= turnedAwayLimit {
 			u.presumedUntil = now + presumedDrainTime
--- a/drain_test.go
+++ b/drain_test.go
@@ -161,7 +161,7 @@
 	n.attempts[id]++
 	status, took := OK, answerTime
 	if drainAt, drains := n.discovery.drainAt[up]; drains {
-		status, took = Full, time.Millisecond
+		status, took = Rejected, time.Millisecond
 		if n.now-drainAt > releaseDrain {
 			status = ConnectFailed
 		} else if late := n.now - drainAt - toldAfter; late > releaseGrace {
@@ -171,7 +171,7 @@
 	n.after(took, func() {
 		if !n.killed {
 			n.b.Outcome(n.now, Outcome{ID: id, Upstream: up, Attempt: attempt, Latency: n.now - at, Status: status,
-				Closed: status == OK, Load: Load{Fields: HasUtil | HasRate, Util: 0.5, Rate: 20}})
+				RequestDone: status == OK, Load: Load{Fields: HasUtil | HasRequestRate, Util: 0.5, RequestRate: 20}})
 		}
 	})
 }
@@ -188,7 +188,7 @@
 	n.b, r.nodes[rank] = b, n
 	var list []Upstream
 	for _, u := range fleet(releaseUpstreams) {
-		if u.State = states[u.ID]; u.State != Gone {
+		if u.State = states[u.ID]; u.State != Removed {
 			list = append(list, u)
 		}
 	}
@@ -210,7 +210,7 @@
 func (r *release) play(balancers int, each time.Duration) (late []string, last time.Duration) {
 	g := r.discovery
 	g.each = releaseCallTime / 60 // all have their list before the release
-	r.settings.Balancers, r.settings.OnRequest = balancers, true
+	r.settings.Balancers, r.settings.PollDiscovery = balancers, true
 	r.nodes = make([]*releaseNode, balancers)
 	for rank := range balancers {
 		r.start(rank, 0, map[UpstreamID]State{})
@@ -227,7 +227,7 @@
 			ids = append(ids, UpstreamID(batch*releaseBatch+i+1))
 		}
 		r.after(firstDrainAfter+time.Duration(batch)*drainEvery, func() { g.change(Draining, ids...) })
-		r.after(firstDrainAfter+time.Duration(batch)*drainEvery+releaseDrain, func() { g.change(Gone, ids...) })
+		r.after(firstDrainAfter+time.Duration(batch)*drainEvery+releaseDrain, func() { g.change(Removed, ids...) })
 	}
 	r.runUntil(back + killedAfter)
 	var killed []*releaseNode
@@ -256,7 +256,7 @@
 func newRelease(seed uint64) *release {
 	clock := &fleetClock{now: time.Hour}
 	s := settings()
-	s.Tenants, s.Rules.DrainGrace = nil, releaseGrace
+	s.Tenants, s.Requirements.DrainGrace = nil, releaseGrace
 	return &release{fleetClock: clock, rng: rand.New(rand.NewPCG(seed, 11)), settings: s, seed: seed << 16,
 		discovery: &revisionRegistry{fleetClock: clock, states: map[UpstreamID]State{}, changed: map[UpstreamID]int{},
 			drainAt: map[UpstreamID]time.Duration{}}}
@@ -306,9 +306,9 @@
 			sent[up]++
 			status := OK
 			if int(up) <= draining {
-				status = Full
+				status = Rejected
 			}
-			out = append(out, Outcome{ID: id, Upstream: up, Attempt: attempts[id], Latency: ms, Status: status, Closed: status == OK})
+			out = append(out, Outcome{ID: id, Upstream: up, Attempt: attempts[id], Latency: ms, Status: status, RequestDone: status == OK})
 			attempts[id]++
 		}
 		for id := range RequestID(400) {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -144,7 +144,7 @@
 	var all []*follower
 	for rank := range n {
 		f := &follower{g: g}
-		s.Balancers, s.Rank, s.OnRequest = n, rank, true
+		s.Balancers, s.Rank, s.PollDiscovery = n, rank, true
 		b, err := New(s, seed<<16+uint64(rank), g.now, f)
 		if err != nil {
 			t.Fatal(err)
@@ -193,7 +193,7 @@
 func hearAfterOutage(t *testing.T, n int, ask time.Duration, out outage, lasts time.Duration, seed uint64) (late int, most time.Duration) {
 	t.Helper()
 	s := settings()
-	s.Rules.AskWithin = ask
+	s.Requirements.MaxDiscoveryInterval = ask
 	g, all := newFollowers(t, n, s, seed)
 	g.out = out
 	for _, f := range all {
@@ -223,7 +223,7 @@
 	for _, n := range []int{30, 100, 300} {
 		for seed := range uint64(10) {
 			s := settings()
-			s.Balancers, s.OnRequest = n, true
+			s.Balancers, s.PollDiscovery = n, true
 			g := &turnRegistry{fleetClock: &fleetClock{now: time.Hour}, each: 29 * ms}
 			var all []*follower
 			for rank := range n {
--- a/host_test.go
+++ b/host_test.go
@@ -48,18 +48,18 @@
 // settings returns valid settings with one class of each repeat kind.
 func settings() Settings {
 	return Settings{
-		Zone: "near", Balancers: 2, OverShareWorth: 0.1, WorthByWork: true,
+		Zone: "near", Balancers: 2, OverQuotaWorth: 0.1, WorthByWork: true,
 		Classes: []Class{
-			{Name: "read", Aim: 300 * ms, Deadline: time.Second, Repeat: Safe, Worth: 1, LateWorth: 0.5},
-			{Name: "keyed", Aim: 300 * ms, Deadline: time.Second, Repeat: Keyed, Group: GroupZone, Memory: 400 * ms, Worth: 3},
-			{Name: "write", Aim: 300 * ms, Deadline: time.Second, Repeat: Unsafe, Worth: 2},
+			{Name: "read", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: Idempotent, Worth: 1, LateWorth: 0.5},
+			{Name: "keyed", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 400 * ms, Worth: 3},
+			{Name: "write", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: NonIdempotent, Worth: 2},
 		},
-		Tenants:     []Tenant{{Name: "big", Quota: 200}, {Name: "small", Quota: 20}},
-		Limits:      Limits{Cancel: true, Probes: true, MaxAttempts: 4},
-		Rules:       Rules{AskWithin: 10 * time.Second, ColdFrom: 0.3, RampTime: 9 * time.Second, TipMultiple: 3, TipAfter: 1500 * ms, DrainGrace: time.Second, AnswerWithin: 20 * ms},
-		Weights:     WeightNominal,
-		Reports:     ReportAnswers,
-		Granularity: 5 * ms,
+		Tenants:      []Tenant{{Name: "big", Quota: 200}, {Name: "small", Quota: 20}},
+		Limits:       Limits{Cancel: true, Probes: true, MaxAttempts: 4},
+		Requirements: Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * ms, DrainGrace: time.Second, AnswerSlack: 20 * ms},
+		Weights:      WeightNominal,
+		Reports:      ReportInResponses,
+		Granularity:  5 * ms,
 	}
 }
 
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -125,7 +125,7 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	whole := clayladder.Load{Fields: clayladder.HasErrors | clayladder.HasUtil | clayladder.HasService, Errors: 0.5, Util: 0.61, Service: 14.5}
+	whole := clayladder.Load{Fields: clayladder.HasErrorRate | clayladder.HasUtil | clayladder.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
 	for _, c := range []struct {
 		name    string
 		reports []string
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -58,7 +58,7 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]clayladder.State{"up": clayladder.Active, "draining": clayladder.Draining, "removed": clayladder.Gone}
+var phases = map[string]clayladder.State{"up": clayladder.Active, "draining": clayladder.Draining, "removed": clayladder.Removed}
 
 // check tells what makes the entry unusable.
 func (m *member) check() error {
@@ -68,7 +68,7 @@
 		return fmt.Errorf("an entry has no id")
 	case !ok:
 		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
-	case state == clayladder.Gone:
+	case state == clayladder.Removed:
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -294,7 +294,7 @@
 // process at once.
 func (f *frontend) stop() {
 	f.mu.Lock()
-	f.leaving, f.killAt = true, time.Now().Add(min(f.plan.Load().Longest(), longestTaken)+killGrace-firstBytes)
+	f.leaving, f.killAt = true, time.Now().Add(min(f.plan.Load().MaxDeadline(), longestTaken)+killGrace-firstBytes)
 	wait := lameDuck
 	if f.shared {
 		wait = idleGrace
@@ -779,14 +779,14 @@
 		return nil, bad("the path does not begin with the class")
 	case id == "":
 		return nil, bad("X-Request-Id is wanted")
-	case (class.Repeat == clayladder.Safe) != (method == http.MethodGet),
-		class.Repeat != clayladder.Safe && method != http.MethodPost:
+	case (class.Idempotency == clayladder.Idempotent) != (method == http.MethodGet),
+		class.Idempotency != clayladder.Idempotent && method != http.MethodPost:
 		return nil, bad("the method does not fit the class")
-	case (class.Repeat == clayladder.Keyed) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
+	case (class.Idempotency == clayladder.IdempotentByKey) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
 		return nil, bad("Idempotency-Key does not fit the class")
 	}
 	q := &request{name: id, reply: make(chan answer, 1)}
-	q.Class, q.Terms, q.Tenant, q.Retry = class.Name, class, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
+	q.Class, q.ClassSettings, q.Tenant, q.Retry = class.Name, class, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
 	q.Budget = class.Deadline
 	if len(h["X-Deadline-Ms"]) > 0 {
 		ms, ok := digits(h.Get("X-Deadline-Ms"))
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -162,10 +162,10 @@
 
 // start makes the Balancer and tells it the upstreams that were known before.
 func (l *loop) start(c *Config, offline []string) {
-	l.balancer = clayladder.NewWith(c.Plan, c.Seed, l.now(), l)
+	l.balancer = clayladder.NewWithPlan(c.Plan, c.Seed, l.now(), l)
 	l.obey(offline)
 	l.members(clayladder.ListCached, c.Known)
-	if !l.settings.OnRequest { // lists that are pushed come without the module's asking
+	if !l.settings.PollDiscovery { // lists that are pushed come without the module's asking
 		l.Watch(true)
 	}
 }
@@ -263,7 +263,7 @@
 	l.serial++
 	r.ID = clayladder.RequestID(l.serial) // the module's own: what clients send need not be unique
 	now := l.now()
-	if r.Open = r.message.rest != nil; r.Open {
+	if r.Streaming = r.message.rest != nil; r.Streaming {
 		r.coming = true
 	} else {
 		r.deadline = r.at + r.Budget
@@ -300,7 +300,7 @@
 	for _, a := range r.attempts {
 		a.sentAt = now
 	}
-	l.balancer.Whole(now, r.ID)
+	l.balancer.BodyComplete(now, r.ID)
 }
 
 // left tells that a client has closed its connection.
@@ -310,7 +310,7 @@
 	r := e.request
 	if !r.closed {
 		l.close(r)
-		l.balancer.Gone(l.now(), r.ID)
+		l.balancer.ClientGone(l.now(), r.ID)
 		return
 	}
 	select { // it may have been given an answer that it does not take
@@ -338,8 +338,8 @@
 	a.begun = true
 	l.answer(r, answer{status: http.StatusOK, kind: e.header.Get("Content-Type"), relay: e.relay})
 	now := l.now()
-	l.balancer.Started(now, clayladder.Outcome{ID: r.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: clayladder.OK, Closed: true, Load: e.load})
+	l.balancer.ResponseStarted(now, clayladder.Outcome{ID: r.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
+		Status: clayladder.OK, RequestDone: true, Load: e.load})
 }
 
 // finished is the end of an attempt on its connection.
@@ -378,7 +378,7 @@
 	closed := q.closed
 	l.release(q)
 	l.balancer.Outcome(now, clayladder.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: r.status, Closed: closed, Spent: q.message.rest != nil && q.message.rest.taken.Load(), Load: r.load})
+		Status: r.status, RequestDone: closed, BodyConsumed: q.message.rest != nil && q.message.rest.taken.Load(), Load: r.load})
 }
 
 // settle tells the outcomes that came up while the module was calling.
@@ -397,7 +397,7 @@
 		return
 	}
 	if a.drop() {
-		status = clayladder.Moot
+		status = clayladder.NotSent
 	} else if a.stage.Load() >= claimed {
 		if a.sent == nil && (a.req.closed || l.now() >= a.req.deadline) && a.peer.lingering < lingerMost && l.usable(a.peer) {
 			a.lingers = true
@@ -432,7 +432,7 @@
 	r.closed = true
 	for _, a := range r.attempts {
 		if a.drop() {
-			l.pending = append(l.pending, pendingOutcome{a, clayladder.Moot})
+			l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
 		}
 	}
 	l.release(r)
@@ -480,13 +480,13 @@
 	}
 	if r.closed || wait <= 0 || !l.usable(p) {
 		a.drop()
-		l.pending = append(l.pending, pendingOutcome{a, clayladder.Moot})
+		l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
 		return
 	}
 	var room bool
 	if a.conn, room = l.connection(p, now); !room { // no fault of the upstream's
 		a.drop()
-		l.pending = append(l.pending, pendingOutcome{a, clayladder.Moot})
+		l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
 		return
 	}
 	p.out[a] = struct{}{}
@@ -518,7 +518,7 @@
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
 		}
-		l.answer(r, answer{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetry)})
+		l.answer(r, answer{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
 	}
 }
 
@@ -683,7 +683,7 @@
 
 // forget drops an upstream that is gone and has nothing out.
 func (l *loop) forget(p *peer) {
-	if p.state == clayladder.Gone && len(p.out) == 0 && l.peers[p.id] == p {
+	if p.state == clayladder.Removed && len(p.out) == 0 && l.peers[p.id] == p {
 		delete(l.peers, p.id)
 		l.unname(p.name)
 	}
@@ -723,7 +723,7 @@
 	if !out {
 		if off {
 			delete(l.off, id)
-			l.balancer.Maintain(l.now(), number, false)
+			l.balancer.SetMaintenance(l.now(), number, false)
 			if l.peers[number] == nil {
 				l.unname(id)
 			}
@@ -741,12 +741,12 @@
 		l.Disconnect(number)
 		for a := range p.out {
 			if a.drop() { // it waited for a connection
-				l.pending = append(l.pending, pendingOutcome{a, clayladder.Moot})
+				l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
 			}
 			written = written && a.stage.Load() != claimed
 		}
 	}
-	l.balancer.Maintain(l.now(), number, true)
+	l.balancer.SetMaintenance(l.now(), number, true)
 	return written
 }
 
@@ -800,13 +800,13 @@
 	}
 	for id, p := range l.peers {
 		if mode != clayladder.ListDelta && !named[id] {
-			p.state = clayladder.Gone
+			p.state = clayladder.Removed
 			l.Disconnect(id)
 		}
 		if p.state != clayladder.Active {
 			for a := range p.out {
 				if a.drop() { // its upstream left while it waited for a connection
-					l.pending = append(l.pending, pendingOutcome{a, clayladder.Moot})
+					l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
 				}
 			}
 		}
@@ -825,7 +825,7 @@
 func (l *loop) peer(u clayladder.Upstream, m *member) {
 	p, address := l.peers[u.ID], m.HostPort
 	if p == nil {
-		if u.State == clayladder.Gone {
+		if u.State == clayladder.Removed {
 			l.unname(m.ID)
 			return
 		}
@@ -835,7 +835,7 @@
 	if p.state = u.State; u.State != clayladder.Active || (address != p.address && p.address != "") {
 		l.Disconnect(u.ID)
 	}
-	if u.State != clayladder.Gone {
+	if u.State != clayladder.Removed {
 		p.address = address
 	}
 }
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -287,7 +287,7 @@
 	case <-servers[order[1]].arrivals:
 		return 2
 	case e := <-h.events: // it ended without
-		want(t, "how it ended", e.(finished).status, clayladder.Moot)
+		want(t, "how it ended", e.(finished).status, clayladder.NotSent)
 		return 1
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -387,8 +387,8 @@
 		{"3 GB", raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), clayladder.Error, false},
 		{"error", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), clayladder.Error, true},
 		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), clayladder.Error, true},
-		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Full, true},
-		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Full, true},
+		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Rejected, true},
+		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Rejected, true},
 		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Error, true},
 		{"closed without an answer", raw("", false), clayladder.Reset, false},
 		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), clayladder.Reset, false},
@@ -461,7 +461,7 @@
 	a := &attempt{req: &request{}, address: s.addr, message: &message{line: "POST /x", host: "x"}, wait: time.Second}
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
-	want(t, "status", r.status, clayladder.Moot)
+	want(t, "status", r.status, clayladder.NotSent)
 	want(t, "still of use", r.conn != nil && r.conn.fresh() == nil, true)
 	want(t, "requests written", len(s.arrivals), 0)
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -107,7 +107,7 @@
 	Discovery string
 	Links     wire.Links
 	Plan      *clayladder.Plan
-	Change    clayladder.Change // over the Reload before
+	PlanDiff  clayladder.PlanDiff // over the Reload before
 	Hash      string
 
 	signal  time.Time
@@ -122,7 +122,7 @@
 }
 
 func (e reloaded) apply(l *loop) {
-	l.balancer.Reconfigure(l.now(), e.Plan, e.Change)
+	l.balancer.Reconfigure(l.now(), e.Plan, e.PlanDiff)
 	l.settings = e.Plan.Settings()
 	l.dial.timeout, l.idleFor = e.Links.ConnectTimeout, idleFor(e.Links)
 	if e.front != nil { // last: what it lets pass by the new plan the module knows
@@ -250,7 +250,7 @@
 		r.last = Reload{Discovery: c.Discovery, Links: c.Links, Plan: c.Plan, Hash: hash, told: r.start.SettingsInForce}
 	}
 	x := r.last
-	x.Change, x.inForce = x.Plan.Since(r.plan, work.step), make(chan time.Duration, 1)
+	x.PlanDiff, x.inForce = x.Plan.Since(r.plan, work.step), make(chan time.Duration, 1)
 	r.plan = x.Plan
 	return x, nil
 }
@@ -279,7 +279,7 @@
 		return
 	}
 	r.hash = x.Hash
-	c, t := x.Change.Classes, x.Change.Tenants
+	c, t := x.PlanDiff.Classes, x.PlanDiff.Tenants
 	r.log.Info("configuration in force", "hash", x.Hash, "took", took, "classes_added", c.Added, "classes_changed", c.Changed,
-		"classes_gone", c.Gone, "tenants_added", t.Added, "tenants_changed", t.Changed, "tenants_gone", t.Gone)
+		"classes_gone", c.Removed, "tenants_added", t.Added, "tenants_changed", t.Changed, "tenants_gone", t.Removed)
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -211,7 +211,7 @@
 	a.conn = c
 	wait, ok := d.claim(a)
 	if !ok {
-		return result{status: clayladder.Moot, conn: c}
+		return result{status: clayladder.NotSent, conn: c}
 	}
 	// A machine that has gone silent takes bytes until its buffers are full, and then none for ever.
 	c.SetWriteDeadline(time.Now().Add(wait))
@@ -232,7 +232,7 @@
 		if a.message.rest.end(); !a.whole.Load() && r.status == clayladder.Reset {
 			r.status = clayladder.ConnectFailed // its last byte never left this process
 			if a.cut.Load() {
-				r.status = clayladder.Moot // which says nothing of the upstream
+				r.status = clayladder.NotSent // which says nothing of the upstream
 			}
 		}
 	}
@@ -358,7 +358,7 @@
 		r.status, r.kind = clayladder.OK, m.header.Get("Content-Type")
 	case (m.status == http.StatusServiceUnavailable || m.status == http.StatusGatewayTimeout) &&
 		m.header.Get("X-Not-Run") == "1": // without that mark it may have run
-		r.status = clayladder.Full
+		r.status = clayladder.Rejected
 	}
 	begins := time.Now().Add(holdFor)
 	body, whole, err := d.held.gather(m.body, func() bool {
--- a/internal/proxy/virtual_test.go
+++ b/internal/proxy/virtual_test.go
@@ -267,7 +267,7 @@
 		for _, leaves := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leaves %v", name, leaves), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					v := newVirtual(t, silentPipe(t), noDiscovery, func(_ *Config, s *clayladder.Settings) { s.Limits.SecondCopies = true })
+					v := newVirtual(t, silentPipe(t), noDiscovery, func(_ *Config, s *clayladder.Settings) { s.Limits.Hedging = true })
 					ours, theirs := memPipe(v.silent)
 					begin := c.meet(v, func() {
 						synctest.Wait() // the list
@@ -470,7 +470,7 @@
 								d.lose(c.down)
 							}
 							v := newVirtual(t, d.listener.silent, d.dial, func(x *Config, s *clayladder.Settings) {
-								x.Seed, s.Rules.AskWithin, s.Balancers = seed, 20*time.Second, 300
+								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
 								if young { // its first call comes at once, and has no list to go on from
 									x.Inherited, s.Balancers = firstInherited, 1
 								}
@@ -532,7 +532,7 @@
 					for rank := range balancers {
 						x := virtualConfig(t, func(x *Config, s *clayladder.Settings) {
 							x.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
-							s.Rules.AskWithin = 10 * time.Second
+							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
 						})
 						if x.Known = (listing{}); c.known {
 							x.Known = listing{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -242,14 +242,14 @@
 
 // settingsOf are settings of the fleet ahead with so many classes and tenants.
 func settingsOf(classes, tenants int) clayladder.Settings {
-	s := clayladder.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverShareWorth: 0.1, OnRequest: true,
-		Weights: clayladder.WeightNominal, Reports: clayladder.ReportAnswers, Granularity: 5 * time.Millisecond,
-		Limits: clayladder.Limits{Cancel: true, SecondCopies: true, RetryAfter: true, MaxRetry: 2 * time.Second, MaxAttempts: 3},
-		Rules: clayladder.Rules{AskWithin: 10 * time.Second, ColdFrom: 0.3, RampTime: 9 * time.Second, TipMultiple: 3,
-			TipAfter: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerWithin: 20 * time.Millisecond}}
+	s := clayladder.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
+		Weights: clayladder.WeightNominal, Reports: clayladder.ReportInResponses, Granularity: 5 * time.Millisecond,
+		Limits: clayladder.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 3},
+		Requirements: clayladder.Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3,
+			OverloadWindow: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerSlack: 20 * time.Millisecond}}
 	for i := range classes {
-		s.Classes = append(s.Classes, clayladder.Class{Name: className(i), Aim: 300 * time.Millisecond, Deadline: time.Second,
-			Repeat: clayladder.Repeat(i % 2), Memory: 400 * time.Millisecond, Worth: float64(1 + i%7), LateWorth: 0.2})
+		s.Classes = append(s.Classes, clayladder.Class{Name: className(i), LatencyTarget: 300 * time.Millisecond, Deadline: time.Second,
+			Idempotency: clayladder.Idempotency(i % 2), DedupWindow: 400 * time.Millisecond, Worth: float64(1 + i%7), LateWorth: 0.2})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, clayladder.Tenant{Name: tenantName(i), Quota: 2.1})
@@ -340,7 +340,7 @@
 			id++
 			b.Request(now, clayladder.Request{ID: id, Budget: time.Second, Class: className(0)})
 			b.Outcome(now, clayladder.Outcome{ID: id, Upstream: h.up, Latency: 10 * time.Millisecond,
-				Load: clayladder.Load{Fields: clayladder.HasUtil | clayladder.HasRate, Util: 0.3, Rate: 10}})
+				Load: clayladder.Load{Fields: clayladder.HasUtil | clayladder.HasRequestRate, Util: 0.3, RequestRate: 10}})
 		}
 		b.Timer(now, h.tick)
 	})), nil
@@ -437,7 +437,7 @@
 		now += every / 2
 		if h.id == id {
 			b.Outcome(now, clayladder.Outcome{ID: id, Upstream: h.up, Latency: every / 2, Load: clayladder.Load{
-				Fields: clayladder.HasUtil | clayladder.HasRate, Util: 0.3 + float64(id%8)/100, Rate: 10}})
+				Fields: clayladder.HasUtil | clayladder.HasRequestRate, Util: 0.3 + float64(id%8)/100, RequestRate: 10}})
 		}
 	})
 	if h.sent < int(id)*9/10 {
@@ -592,7 +592,7 @@
 		return nil, err
 	}
 	forth, back := two.Since(one, noStep), one.Since(two, noStep)
-	b := clayladder.NewWith(one, 1, 0, &host{})
+	b := clayladder.NewWithPlan(one, 1, 0, &host{})
 	b.Members(0, clayladder.ListFull, upstreamList(Upstreams*part/16))
 	now := time.Duration(0)
 	return func() {
@@ -613,7 +613,7 @@
 		if err != nil {
 			return nil, err
 		}
-		b := clayladder.NewWith(one, 1, 0, &host{})
+		b := clayladder.NewWithPlan(one, 1, 0, &host{})
 		b.Members(0, clayladder.ListFull, upstreamList(Upstreams*part/16))
 		return pair{b, two}, nil
 	})
@@ -637,8 +637,8 @@
 func quotaShare(balancers, used int, lasts time.Duration) (float64, error) {
 	s := settingsOf(1, 0)
 	long := 100 * (quotaWarm + lasts)
-	s.Balancers, s.OverShareWorth, s.OnRequest = balancers, 0, false
-	s.Classes[0].Aim, s.Classes[0].Deadline = long, long
+	s.Balancers, s.OverQuotaWorth, s.PollDiscovery = balancers, 0, false
+	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = long, long
 	s.Tenants = []clayladder.Tenant{{Name: "t", Quota: quota}}
 	hosts, fleet := make([]host, used), make([]*clayladder.Balancer, used)
 	for i := range fleet {
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -47,7 +47,7 @@
 		_, mode := asks[m.Mode]
 		repeats := true
 		for _, p := range m.Profiles {
-			repeats = repeats && p.Repeat == "non_idempotent"
+			repeats = repeats && p.Idempotency == "non_idempotent"
 		}
 		if known := reference == nil && mode && repeats; known != (err == nil) {
 			t.Errorf("%s: error %v, of json.Unmarshal %v", text, err, reference)
@@ -57,7 +57,7 @@
 		taken++
 		var got, want []string
 		for _, c := range s.Classes {
-			got = append(got, fmt.Sprint(c.Name, c.Worth, c.Aim, c.Deadline))
+			got = append(got, fmt.Sprint(c.Name, c.Worth, c.LatencyTarget, c.Deadline))
 		}
 		for _, p := range m.Profiles {
 			want = append(want, fmt.Sprint(p.Name, p.Worth, us(p.Target), us(p.GiveUp)))
@@ -68,8 +68,8 @@
 		for _, x := range m.Tenants {
 			want = append(want, fmt.Sprint(x.Name, x.Quota))
 		}
-		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel, s.Rules.ColdFrom, links))
-		want = append(want, fmt.Sprint(m.Zone, m.Balancers, m.Limits.MaxAttempts, m.Limits.Cancel, m.Rules.ColdFrom,
+		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel, s.Requirements.ColdCapacity, links))
+		want = append(want, fmt.Sprint(m.Zone, m.Balancers, m.Limits.MaxAttempts, m.Limits.Cancel, m.Requirements.ColdCapacity,
 			Links{us(m.Limits.KeepAlive), us(m.Limits.ConnectTimeout)}))
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s: reads as %v, want %v", text, got, want)
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -170,7 +170,7 @@
 	case "verdict":
 		e.Kind = Verdict
 		e.Outcome = f.outcome()
-		e.Outcome.Status, e.Outcome.Closed, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
+		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
 	case "lapsed":
 		e.Kind = Lapsed
 		e.Request.ID = clayladder.RequestID(f.hex("id", true))
@@ -427,7 +427,7 @@
 	case "leaving":
 		return clayladder.Draining
 	case "left":
-		return clayladder.Gone
+		return clayladder.Removed
 	}
 	f.fail(name, "unknown state")
 	return 0
@@ -440,7 +440,7 @@
 	case 255:
 		return clayladder.Error
 	case 254:
-		return clayladder.Full
+		return clayladder.Rejected
 	case 253:
 		return clayladder.Timeout
 	case 252:
@@ -450,7 +450,7 @@
 	case 250:
 		return clayladder.Cancelled
 	case 249:
-		return clayladder.Moot
+		return clayladder.NotSent
 	default:
 		f.fail(name, fmt.Sprintf("unknown status %d", x))
 		return 0
@@ -486,10 +486,10 @@
 	case "depth", "queue":
 		l.Queue, l.Fields = x, l.Fields|clayladder.HasQueue
 	case "mean_ms", "latency_ms":
-		l.Service, l.Fields = x, l.Fields|clayladder.HasService
+		l.ServiceTime, l.Fields = x, l.Fields|clayladder.HasServiceTime
 	case "tps", "qps":
-		l.Rate, l.Fields = x, l.Fields|clayladder.HasRate
+		l.RequestRate, l.Fields = x, l.Fields|clayladder.HasRequestRate
 	case "err_ps", "eps":
-		l.Errors, l.Fields = x, l.Fields|clayladder.HasErrors
+		l.ErrorRate, l.Fields = x, l.Fields|clayladder.HasErrorRate
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -24,19 +24,19 @@
 		ConnectTimeout int64 `json:"connect_timeout_us"`
 		KeepAlive      int64 `json:"keepalive_us"`
 		MaxAttempts    int   `json:"max_attempts"`
-		MaxRetry       int64 `json:"max_retry_after_us"`
+		MaxRetryAfter  int64 `json:"max_retry_after_us"`
 		Probes         bool  `json:"probes"`
 		RetryAfter     bool  `json:"retry_after"`
-		SecondCopies   bool  `json:"second_copies"`
+		Hedging        bool  `json:"second_copies"`
 	} `json:"limits"`
-	Rules struct {
-		Slack       int64   `json:"answer_slack_us"`
-		AskWithin   int64   `json:"ask_within_us"`
-		ColdFrom    float64 `json:"cold_from"`
-		DrainGrace  int64   `json:"drain_grace_us"`
-		RampTime    int64   `json:"ramp_time_us"`
-		TipAfter    int64   `json:"tip_after_us"`
-		TipMultiple float64 `json:"tip_multiple"`
+	Requirements struct {
+		Slack                int64   `json:"answer_slack_us"`
+		MaxDiscoveryInterval int64   `json:"ask_within_us"`
+		ColdCapacity         float64 `json:"cold_from"`
+		DrainGrace           int64   `json:"drain_grace_us"`
+		WarmupTime           int64   `json:"ramp_time_us"`
+		OverloadWindow       int64   `json:"tip_after_us"`
+		OverloadFactor       float64 `json:"tip_multiple"`
 	} `json:"obligations"`
 	Reporting struct {
 		Via string `json:"via"`
@@ -45,24 +45,24 @@
 
 // profile mirrors an entry of the list of classes.
 type profile struct {
-	GiveUp    int64   `json:"give_up_us"`
-	Group     string  `json:"group"`
-	LateWorth float64 `json:"late_worth"`
-	Memory    int64   `json:"memory_span_us"`
-	Name      string  `json:"name"`
-	Repeat    string  `json:"repeat"`
-	Target    int64   `json:"target_us"`
-	Worth     float64 `json:"worth"`
+	GiveUp      int64   `json:"give_up_us"`
+	DedupScope  string  `json:"group"`
+	LateWorth   float64 `json:"late_worth"`
+	DedupWindow int64   `json:"memory_span_us"`
+	Name        string  `json:"name"`
+	Idempotency string  `json:"repeat"`
+	Target      int64   `json:"target_us"`
+	Worth       float64 `json:"worth"`
 }
 
 var (
-	repeats = map[string]clayladder.Repeat{"read_like": clayladder.Safe, "idempotency_key": clayladder.Keyed,
-		"non_idempotent": clayladder.Unsafe}
-	groups = map[string]clayladder.Group{"all": clayladder.GroupAll, "zone": clayladder.GroupZone, "cell": clayladder.GroupCell}
+	repeats = map[string]clayladder.Idempotency{"read_like": clayladder.Idempotent, "idempotency_key": clayladder.IdempotentByKey,
+		"non_idempotent": clayladder.NonIdempotent}
+	groups = map[string]clayladder.DedupScope{"all": clayladder.DedupAll, "zone": clayladder.DedupZone, "cell": clayladder.DedupCell}
 	weigh  = map[string]clayladder.WeightKind{"silent": clayladder.WeightNone, "nominal": clayladder.WeightNominal,
-		"rough": clayladder.WeightRough, "live": clayladder.WeightLive}
-	vias = map[string]clayladder.ReportVia{"silent": clayladder.ReportNone, "piggyback": clayladder.ReportAnswers,
-		"pull": clayladder.ReportProbes}
+		"rough": clayladder.WeightApproximate, "live": clayladder.WeightLoadAdjusted}
+	vias = map[string]clayladder.ReportMode{"silent": clayladder.ReportNone, "piggyback": clayladder.ReportInResponses,
+		"pull": clayladder.ReportInProbes}
 	asks = map[string]bool{"pushed": false, "on_request": true}
 )
 
@@ -127,16 +127,16 @@
 	}); err != nil {
 		return s, links, fmt.Errorf("settings: %w", err)
 	}
-	s.Zone, s.Balancers, s.Rank, s.OverShareWorth = p.Zone, p.Balancers, p.Rank, p.OverShare
+	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = p.Zone, p.Balancers, p.Rank, p.OverShare
 	s.WorthByWork, s.Granularity = p.WorthBy == "work", us(p.Granularity)
-	s.Limits = clayladder.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
-		RetryAfter: p.Limits.RetryAfter, MaxRetry: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts}
-	s.Rules = clayladder.Rules{AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
-		TipMultiple: p.Rules.TipMultiple, TipAfter: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
-		AnswerWithin: us(p.Rules.Slack)}
+	s.Limits = clayladder.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
+		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
+	s.Requirements = clayladder.Requirements{MaxDiscoveryInterval: us(p.Requirements.MaxDiscoveryInterval), ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: us(p.Requirements.WarmupTime),
+		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: us(p.Requirements.OverloadWindow), DrainGrace: us(p.Requirements.DrainGrace),
+		AnswerSlack: us(p.Requirements.Slack)}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
 	var ok bool
-	if s.OnRequest, ok = asks[p.Mode]; !ok {
+	if s.PollDiscovery, ok = asks[p.Mode]; !ok {
 		return s, links, fmt.Errorf("settings: membership_mode %q is unknown", p.Mode)
 	}
 	if s.Weights, ok = weigh[p.Weights]; !ok {
@@ -154,14 +154,14 @@
 	if err := d.Decode(&p); err != nil {
 		return fmt.Errorf("%q: %w", p.Name, whole(err))
 	}
-	c := clayladder.Class{Name: p.Name, Aim: us(p.Target), Deadline: us(p.GiveUp), Memory: us(p.Memory), Worth: p.Worth,
+	c := clayladder.Class{Name: p.Name, LatencyTarget: us(p.Target), Deadline: us(p.GiveUp), DedupWindow: us(p.DedupWindow), Worth: p.Worth,
 		LateWorth: p.LateWorth}
 	var ok bool
-	if c.Repeat, ok = repeats[p.Repeat]; !ok {
-		return fmt.Errorf("%q: repeat %q is unknown", p.Name, p.Repeat)
+	if c.Idempotency, ok = repeats[p.Idempotency]; !ok {
+		return fmt.Errorf("%q: repeat %q is unknown", p.Name, p.Idempotency)
 	}
-	if c.Group, ok = groups[p.Group]; !ok && c.Repeat == clayladder.Keyed {
-		return fmt.Errorf("%q: group %q is unknown", p.Name, p.Group)
+	if c.DedupScope, ok = groups[p.DedupScope]; !ok && c.Idempotency == clayladder.IdempotentByKey {
+		return fmt.Errorf("%q: group %q is unknown", p.Name, p.DedupScope)
 	}
 	return add(c)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -81,10 +81,10 @@
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
 	o := b.Events[3].Outcome
-	if o.Attempt != 1 || o.Status != clayladder.Full || o.Closed || o.Load.Util != 0.62 || o.Load.Fields != clayladder.HasUtil|clayladder.HasErrors {
+	if o.Attempt != 1 || o.Status != clayladder.Rejected || o.RequestDone || o.Load.Util != 0.62 || o.Load.Fields != clayladder.HasUtil|clayladder.HasErrorRate {
 		t.Errorf("outcome %+v", o)
 	}
-	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Repeat != clayladder.Unsafe || s.Rules.TipMultiple != 3 {
+	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != clayladder.NonIdempotent || s.Requirements.OverloadFactor != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -12,7 +12,7 @@
 // its answers, refreshed now and then. Cold, it is in truth as fast as warm: nothing but the rule keeps requests off it.
 type modelUpstream struct {
 	*fleetClock
-	rules     Rules
+	rules     Requirements
 	full      float64       // requests a second once warm
 	startedAt time.Duration // 0: long ago
 	freeAt    time.Duration
@@ -30,8 +30,8 @@
 
 // capacity is what it can serve a second as far as the settings go.
 func (u *modelUpstream) capacity(at time.Duration) float64 {
-	if age := at - u.startedAt; u.startedAt > 0 && age < u.rules.RampTime {
-		return u.full * (u.rules.ColdFrom + (1-u.rules.ColdFrom)*float64(age)/float64(u.rules.RampTime))
+	if age := at - u.startedAt; u.startedAt > 0 && age < u.rules.WarmupTime {
+		return u.full * (u.rules.ColdCapacity + (1-u.rules.ColdCapacity)*float64(age)/float64(u.rules.WarmupTime))
 	}
 	return u.full
 }
@@ -44,7 +44,7 @@
 	u.served, u.worked = u.served+1, u.worked+work
 	u.after(u.freeAt-u.now+modelLatency, func() {
 		if past := u.now - u.loadAt; past >= modelReport {
-			u.load = Load{Fields: HasUtil | HasRate, Util: min(1, u.worked.Seconds()/past.Seconds()), Rate: u.served / past.Seconds()}
+			u.load = Load{Fields: HasUtil | HasRequestRate, Util: min(1, u.worked.Seconds()/past.Seconds()), RequestRate: u.served / past.Seconds()}
 			u.served, u.worked, u.loadAt = 0, 0, u.now
 		}
 		answered(u.load)
@@ -64,7 +64,7 @@
 	n, at := f.tries[id], f.now
 	f.tries[id]++
 	f.upstreams[up].take(func(l Load) {
-		f.b.Outcome(f.now, Outcome{ID: id, Upstream: up, Attempt: n, Latency: f.now - at, Status: OK, Closed: true, Load: l})
+		f.b.Outcome(f.now, Outcome{ID: id, Upstream: up, Attempt: n, Latency: f.now - at, Status: OK, RequestDone: true, Load: l})
 	})
 }
 
@@ -115,7 +115,7 @@
 		for seed := range uint64(max(1, 4/c.upstreams)) {
 			s := settings()
 			s.Balancers, s.Tenants = c.balancers, nil
-			s.Rules.TipMultiple, s.Rules.ColdFrom, s.Rules.TipAfter = c.multiple, c.from, c.after
+			s.Requirements.OverloadFactor, s.Requirements.ColdCapacity, s.Requirements.OverloadWindow = c.multiple, c.from, c.after
 			c.play(t, s, young, seed)
 		}
 	})
@@ -133,7 +133,7 @@
 	rng, clock := rand.New(rand.NewPCG(seed, 9)), &fleetClock{now: time.Hour}
 	list, byID := fleet(c.upstreams), map[UpstreamID]*modelUpstream{}
 	for _, e := range list {
-		byID[e.ID] = &modelUpstream{fleetClock: clock, rules: s.Rules, full: full, loadAt: clock.now}
+		byID[e.ID] = &modelUpstream{fleetClock: clock, rules: s.Requirements, full: full, loadAt: clock.now}
 	}
 	parts, total, factor := make([]float64, s.Balancers), 0.0, 1.0 // of the traffic: some get several times the mean
 	for i := range parts {
@@ -166,29 +166,29 @@
 	back := clock.now
 	for i := range c.cold {
 		list[i].StartedAt = back
-		*byID[list[i].ID] = modelUpstream{fleetClock: clock, rules: s.Rules, full: full, startedAt: back, loadAt: back}
+		*byID[list[i].ID] = modelUpstream{fleetClock: clock, rules: s.Requirements, full: full, startedAt: back, loadAt: back}
 	}
 	factor = burst
 	for _, f := range all {
 		f.b.Members(back, ListDelta, list[:c.cold])
 	}
-	clock.runUntil(back + s.Rules.RampTime)
+	clock.runUntil(back + s.Requirements.WarmupTime)
 	sent := 0
 	for _, e := range list[:c.cold] {
 		u, first := byID[e.ID], 0
 		sent += len(u.arrivals)
 		for last, at := range u.arrivals {
-			for u.arrivals[first] <= at-s.Rules.TipAfter {
+			for u.arrivals[first] <= at-s.Requirements.OverloadWindow {
 				first++
 			}
-			n := s.Rules.TipMultiple * u.capacity(max(back, at-s.Rules.TipAfter/2)) * s.Rules.TipAfter.Seconds()
+			n := s.Requirements.OverloadFactor * u.capacity(max(back, at-s.Requirements.OverloadWindow/2)) * s.Requirements.OverloadWindow.Seconds()
 			if got, most := float64(last-first+1), n+2*math.Sqrt(n)+2; got > most {
 				t.Errorf("seed %d: upstream %d got %.0f up to %v after its start, %.1f are allowed with chance", seed, e.ID, got, at-back, most)
 				break
 			}
 		}
 	}
-	mean := s.Rules.RampTime.Seconds() * full * (s.Rules.ColdFrom + 1) / 2 // what one can do in the ramp
+	mean := s.Requirements.WarmupTime.Seconds() * full * (s.Requirements.ColdCapacity + 1) / 2 // what one can do in the ramp
 	if float64(sent) < mean*float64(c.cold)/3 {
 		t.Errorf("seed %d: %d sent to %d cold upstreams that could do %.0f each", seed, sent, c.cold, mean)
 	}
--- a/reload_test.go
+++ b/reload_test.go
@@ -20,7 +20,7 @@
 }
 
 // reconfigure puts settings in force that change has changed.
-func reconfigure(t testing.TB, b *Balancer, now time.Duration, s Settings, change func(*Settings)) Change {
+func reconfigure(t testing.TB, b *Balancer, now time.Duration, s Settings, change func(*Settings)) PlanDiff {
 	t.Helper()
 	p := plan(t, s, change)
 	c := p.Since(b.plan, func() {})
@@ -32,7 +32,7 @@
 func many(classes, tenants int) Settings {
 	s := settings()
 	for i := range classes {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", i), Aim: 300 * ms, Deadline: time.Second, Worth: float64(i % 9)})
+		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", i), LatencyTarget: 300 * ms, Deadline: time.Second, Worth: float64(i % 9)})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Quota: 2})
@@ -49,7 +49,7 @@
 		t.Errorf("before: %v", h.lines)
 	}
 	c := reconfigure(t, b, time.Hour, settings(), func(s *Settings) {
-		s.Classes = append(s.Classes, Class{Name: "new", Aim: 300 * ms, Deadline: time.Second, Worth: 1})
+		s.Classes = append(s.Classes, Class{Name: "new", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 1})
 		s.Tenants = append(s.Tenants, Tenant{Name: "newcomer", Quota: 1})
 		s.Tenants[0].Quota = 1
 	})
@@ -57,7 +57,7 @@
 	if b.Request(time.Hour, q); h.count("send id=2") != 1 {
 		t.Errorf("after: %v", h.lines)
 	}
-	if c.Classes != (Counts{Added: 1}) || c.Tenants != (Counts{Added: 1, Changed: 1}) {
+	if c.Classes != (DiffCounts{Added: 1}) || c.Tenants != (DiffCounts{Added: 1, Changed: 1}) {
 		t.Errorf("counted as %+v, %+v", c.Classes, c.Tenants)
 	}
 }
@@ -68,7 +68,7 @@
 	b, h := start(t, settings(), fleet(4))
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Tenant: "small", Budget: time.Second})
 	c := reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Classes, s.Tenants = s.Classes[1:], s.Tenants[:1] })
-	if c.Classes != (Counts{Gone: 1}) || c.Tenants != (Counts{Gone: 1}) {
+	if c.Classes != (DiffCounts{Removed: 1}) || c.Tenants != (DiffCounts{Removed: 1}) {
 		t.Errorf("counted as %+v, %+v", c.Classes, c.Tenants)
 	}
 	b.Request(time.Hour, Request{ID: 2, Class: "read", Budget: time.Second})
@@ -83,7 +83,7 @@
 		t.Errorf("the request in hand is not sent again: %v", h.lines)
 	}
 	second := b.requests[1].attempts[1].up.ID
-	b.Outcome(time.Hour+2*ms, Outcome{ID: 1, Upstream: second, Attempt: 1, Latency: ms, Status: OK, Closed: true})
+	b.Outcome(time.Hour+2*ms, Outcome{ID: 1, Upstream: second, Attempt: 1, Latency: ms, Status: OK, RequestDone: true})
 	if len(b.requests) != 1 || h.count("refuse id=1")+h.count("fail id=1") != 0 {
 		t.Errorf("%d requests are kept: %v", len(b.requests), h.lines)
 	}
@@ -98,13 +98,13 @@
 			change func(*Class)
 			sends  int
 		}{
-			{"write", func(c *Class) { c.Repeat, c.Memory = Keyed, time.Minute }, 1}, // upstreams have no key to drop it by
-			{"read", func(c *Class) { c.Repeat = Unsafe }, 2},
-			{"keyed", func(c *Class) { c.Memory = time.Hour }, 1},      // 500 ms later, of a window of 400 ms
-			{"read", func(c *Class) { c.Aim, c.Deadline = ms, ms }, 2}, // it is given a second all the same
+			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1}, // upstreams have no key to drop it by
+			{"read", func(c *Class) { c.Idempotency = NonIdempotent }, 2},
+			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},           // 500 ms later, of a window of 400 ms
+			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2}, // it is given a second all the same
 		} {
 			b, h := start(t, settings(), fleet(1))
-			q := Request{ID: 1, Class: c.class, Budget: time.Second, Terms: b.plan.Class(c.class)}
+			q := Request{ID: 1, Class: c.class, Budget: time.Second, ClassSettings: b.plan.Class(c.class)}
 			if !heardAfter {
 				b.Request(time.Hour, q)
 			}
@@ -139,7 +139,7 @@
 		now += 5 * ms
 		b.Request(now, Request{ID: i + 1, Class: "write", Tenant: "small", Budget: time.Second})
 		if r := b.requests[i+1]; r != nil && r.out == 1 {
-			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true,
+			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true,
 				Load: Load{Fields: HasUtil, Util: float64(i%7) / 10}})
 		}
 		b.Timer(now, tickToken)
@@ -153,7 +153,7 @@
 	}
 	lat, carry, part, turn := b.lat, b.carry, b.part, b.turn
 	reconfigure(t, b, now, settings(), func(s *Settings) {
-		s.Classes[2].Worth, s.Tenants[1].Quota, s.Limits.MaxAttempts, s.OverShareWorth = 7, 40, 2, 0.5
+		s.Classes[2].Worth, s.Tenants[1].Quota, s.Limits.MaxAttempts, s.OverQuotaWorth = 7, 40, 2, 0.5
 	})
 	for i, u := range b.ups {
 		was := ups[i]
@@ -267,7 +267,7 @@
 	one := b.plan
 	two := plan(t, s, func(s *Settings) { s.Tenants[500].Quota = 3 })
 	there, back := two.Since(one, func() {}), one.Since(two, func() {})
-	if there.Tenants != (Counts{Changed: 1}) || there.Classes != (Counts{}) {
+	if there.Tenants != (DiffCounts{Changed: 1}) || there.Classes != (DiffCounts{}) {
 		t.Fatalf("counted as %+v", there)
 	}
 	n := len(h.lines)
--- a/rules_test.go
+++ b/rules_test.go
@@ -55,7 +55,7 @@
 
 // ran tells whether an attempt may have run or may still run.
 func (x *try) ran() bool {
-	return !x.over || !slices.Contains([]Status{Full, ConnectFailed, Moot}, x.status)
+	return !x.over || !slices.Contains([]Status{Rejected, ConnectFailed, NotSent}, x.status)
 }
 
 func (c *checker) action(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
@@ -89,7 +89,7 @@
 	if c.off[up] {
 		c.bad("maintenance: request %d sent to %d", r.id, up)
 	}
-	if at, gone := c.goneAt[up]; gone && c.now > at+c.s.Rules.DrainGrace {
+	if at, gone := c.goneAt[up]; gone && c.now > at+c.s.Requirements.DrainGrace {
 		c.bad("rule 3: request %d sent to %d, leaving since %v", r.id, up, at)
 	}
 	c.cold(u)
@@ -102,15 +102,15 @@
 			continue
 		}
 		switch {
-		case r.class.Repeat == Unsafe:
+		case r.class.Idempotency == NonIdempotent:
 			c.bad("rule 2: unsafe request %d sent again", r.id)
-		case r.class.Repeat == Keyed && c.now > x.at+r.class.Memory:
+		case r.class.Idempotency == IdempotentByKey && c.now > x.at+r.class.DedupWindow:
 			c.bad("rule 2: keyed request %d sent again after its memory", r.id)
-		case r.class.Repeat == Keyed && ((r.class.Group == GroupZone && x.up.Zone != u.Zone) || (r.class.Group == GroupCell && x.up.Cell != u.Cell)):
+		case r.class.Idempotency == IdempotentByKey && ((r.class.DedupScope == DedupZone && x.up.Zone != u.Zone) || (r.class.DedupScope == DedupCell && x.up.Cell != u.Cell)):
 			c.bad("rule 2: keyed request %d sent outside its group", r.id)
 		}
 	}
-	if out > 0 && !c.s.Limits.SecondCopies {
+	if out > 0 && !c.s.Limits.Hedging {
 		c.bad("rule 2: request %d has two attempts out", r.id)
 	}
 	if len(r.tries) >= c.s.Limits.MaxAttempts {
@@ -128,17 +128,17 @@
 // can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
 // even share of drive's traffic: 133 requests a second, over two balancers and five upstreams.
 func (c *checker) cold(u Upstream) {
-	age, after := c.now-u.StartedAt, c.s.Rules.TipAfter
+	age, after := c.now-u.StartedAt, c.s.Requirements.OverloadWindow
 	c.sent[u.ID] = append(slices.DeleteFunc(c.sent[u.ID], func(at time.Duration) bool {
 		return at <= c.now-after || at < u.StartedAt
 	}), c.now)
 	n := len(c.sent[u.ID])
-	if u.StartedAt == 0 || age >= c.s.Rules.RampTime {
+	if u.StartedAt == 0 || age >= c.s.Requirements.WarmupTime {
 		c.most = max(c.most, n)
 		return
 	}
-	can := c.s.Rules.ColdFrom + (1-c.s.Rules.ColdFrom)*float64(age)/float64(c.s.Rules.RampTime)
-	if most := c.s.Rules.TipMultiple * can * max(float64(c.most), 133.0/5/2*after.Seconds()); float64(n) > most+3 {
+	can := c.s.Requirements.ColdCapacity + (1-c.s.Requirements.ColdCapacity)*float64(age)/float64(c.s.Requirements.WarmupTime)
+	if most := c.s.Requirements.OverloadFactor * can * max(float64(c.most), 133.0/5/2*after.Seconds()); float64(n) > most+3 {
 		c.bad("rule 4: upstream %d, started %v ago, was sent %d, %.1f fit", u.ID, age, n, most)
 	}
 }
@@ -148,11 +148,11 @@
 	if r.finals > 1 || (r.ended > 0 && r.ended < c.now) {
 		c.bad("rule 1: request %d answered twice", r.id)
 	}
-	if c.now > r.deadline+c.s.Rules.AnswerWithin {
+	if c.now > r.deadline+c.s.Requirements.AnswerSlack {
 		c.bad("rule 1: request %d answered %v late", r.id, c.now-r.deadline)
 	}
 	for _, x := range r.tries {
-		harmless := r.class.Repeat == Safe || (r.class.Repeat == Keyed && r.class.Group == GroupAll)
+		harmless := r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAll)
 		if refused && x.ran() && !harmless {
 			c.bad("rule 2: request %d refused though it may have run", r.id)
 		}
@@ -209,7 +209,7 @@
 	b.Request(c.now, q)
 	if r.finals == 0 && rng.IntN(50) == 0 { // an impatient client
 		r.ended = c.now
-		b.Gone(c.now, id)
+		b.ClientGone(c.now, id)
 	}
 }
 
@@ -220,7 +220,7 @@
 			continue
 		}
 		if x.end > c.now {
-			x.status = []Status{OK, OK, OK, OK, Error, Full, ConnectFailed, Reset}[rng.IntN(8)]
+			x.status = []Status{OK, OK, OK, OK, Error, Rejected, ConnectFailed, Reset}[rng.IntN(8)]
 		}
 		x.over = true
 		c.open = slices.DeleteFunc(c.open, func(y *try) bool { return y == x })
@@ -234,7 +234,7 @@
 		if x.status == OK && !closed {
 			r.ended, r.finals, closed = c.now, r.finals+1, true
 		}
-		o := Outcome{ID: r.id, Upstream: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, Closed: closed, Load: load}
+		o := Outcome{ID: r.id, Upstream: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, RequestDone: closed, Load: load}
 		b.Outcome(c.now, o)
 		if rng.IntN(20) == 0 { // told twice, which must be passed over
 			b.Outcome(c.now, o)
@@ -291,7 +291,7 @@
 	} else {
 		delete(c.off, id)
 	}
-	b.Maintain(c.now, id, out)
+	b.SetMaintenance(c.now, id, out)
 }
 
 func (c *checker) fire(b *Balancer) {
@@ -309,7 +309,7 @@
 // overdue finds requests that have had no final answer in time.
 func (c *checker) overdue() {
 	for id, r := range c.requests {
-		if r.finals == 0 && r.ended == 0 && c.now > r.deadline+c.s.Rules.AnswerWithin {
+		if r.finals == 0 && r.ended == 0 && c.now > r.deadline+c.s.Requirements.AnswerSlack {
 			c.bad("rule 1: request %d got no final answer", id)
 			r.finals = 1
 		}
@@ -319,12 +319,12 @@
 // variants are settings that ask the rules differently.
 func variants() map[string]Settings {
 	all, cell, copies, asked := settings(), settings(), settings(), settings()
-	all.Classes[1].Group = GroupAll
-	cell.Classes[1].Group, cell.Limits.SecondCopies = GroupCell, true
-	copies.Limits.SecondCopies, copies.Limits.Cancel = true, false
-	asked.OnRequest, asked.Reports, asked.WorthByWork = true, ReportProbes, false
+	all.Classes[1].DedupScope = DedupAll
+	cell.Classes[1].DedupScope, cell.Limits.Hedging = DedupCell, true
+	copies.Limits.Hedging, copies.Limits.Cancel = true, false
+	asked.PollDiscovery, asked.Reports, asked.WorthByWork = true, ReportInProbes, false
 	many := settings()
-	many.Balancers, many.Rank, many.Limits.SecondCopies, many.Weights = 5, 4, true, WeightLive
+	many.Balancers, many.Rank, many.Limits.Hedging, many.Weights = 5, 4, true, WeightLoadAdjusted
 	return map[string]Settings{"zone": settings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many}
 }
 
@@ -413,7 +413,7 @@
 		id := RequestID(i + 1)
 		b.Request(now, Request{ID: id, Class: "read", Budget: 100 * ms, Key: uint64(i), HasKey: true})
 		if r := b.requests[id]; r != nil && r.out > 0 {
-			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, Closed: true})
+			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, RequestDone: true})
 		}
 		if i%20 == 0 {
 			b.Timer(now, tickToken)
--- a/service_test.go
+++ b/service_test.go
@@ -13,7 +13,7 @@
 func TestRefusalsAdviseWhenToComeBack(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		s := settings()
-		s.Limits.RetryAfter, s.Limits.MaxRetry = allowed, 400*ms
+		s.Limits.RetryAfter, s.Limits.MaxRetryAfter = allowed, 400*ms
 		b, h := start(t, s, nil)
 		var told []time.Duration
 		h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, _ uint64) {
@@ -31,7 +31,7 @@
 			t.Fatalf("%d refusals, want 2: %v", len(told), h.lines)
 		}
 		for i, d := range told {
-			if (d > 0) != allowed || d > s.Limits.MaxRetry {
+			if (d > 0) != allowed || d > s.Limits.MaxRetryAfter {
 				t.Errorf("allowed %v, refusal %d: come back in %v", allowed, i, d)
 			}
 		}
@@ -80,7 +80,7 @@
 			id := RequestID(3*i + k + 1)
 			b.Request(now, Request{ID: id, Class: "write", Tenant: []string{"", "small", "big"}[k], Key: uint64(id), HasKey: true, Budget: 300 * ms})
 			if r := b.requests[id]; r != nil && r.out == 1 {
-				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 			}
 		}
 		h.lines = nil
@@ -124,12 +124,12 @@
 		}
 	}
 	full := len(u.outs)
-	b.Gone(time.Hour+ms, 1)
+	b.ClientGone(time.Hour+ms, 1)
 	b.Timer(time.Hour+2*ms, tickToken)
 	if h.count("cancel") != 0 || len(u.outs) != full || h.count("send") != full {
 		t.Errorf("%d out and %d sent, of %d that fit; %d cancelled", len(u.outs), h.count("send"), full, h.count("cancel"))
 	}
-	b.Outcome(time.Hour+60*ms, Outcome{ID: 1, Upstream: u.ID, Latency: 60 * ms, Status: OK, Closed: true})
+	b.Outcome(time.Hour+60*ms, Outcome{ID: 1, Upstream: u.ID, Latency: 60 * ms, Status: OK, RequestDone: true})
 	if h.count("send") != full+1 || len(b.requests) != full {
 		t.Errorf("%d sent and %d in the ledger, want %d and %d", h.count("send"), len(b.requests), full+1, full)
 	}
@@ -189,7 +189,7 @@
 			now += 100 * ms
 			b.Request(now, Request{ID: id, Class: "write", Budget: budget})
 			if r := b.requests[id]; r != nil && r.out == 1 {
-				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, Closed: true})
+				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestDone: true})
 			}
 		}
 		now += time.Second
@@ -212,7 +212,7 @@
 		for range n {
 			now += bandPeriod
 			for _, u := range b.ups {
-				u.answers, u.last.Rate = 20, 20+others
+				u.answers, u.last.RequestRate = 20, 20+others
 			}
 			b.step(now)
 		}
@@ -242,7 +242,7 @@
 func TestLostAttemptStartsElsewhereAndFreesItsPlace(t *testing.T) {
 	for _, use := range []float64{0.2, 0.95} {
 		s := settings()
-		s.Limits.SecondCopies = true
+		s.Limits.Hedging = true
 		b, h := start(t, s, fleet(2))
 		b.doubt = 0 // what was overdue before never came
 		now := time.Hour
@@ -256,7 +256,7 @@
 			id := RequestID(200 + i)
 			b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 			l := Load{Fields: HasUtil, Util: use + float64(i)/1000}
-			b.Outcome(now+30*ms, Outcome{ID: id, Upstream: b.requests[id].attempts[0].up.ID, Latency: 30 * ms, Status: OK, Closed: true, Load: l})
+			b.Outcome(now+30*ms, Outcome{ID: id, Upstream: b.requests[id].attempts[0].up.ID, Latency: 30 * ms, Status: OK, RequestDone: true, Load: l})
 		}
 		b.Timer(now, tickToken)
 		r := b.requests[100]
@@ -278,10 +278,10 @@
 	for i := range RequestID(20) {
 		now += time.Minute
 		b.Request(now, Request{ID: i + 1, Class: "read", Budget: time.Second})
-		b.Outcome(now+ms, Outcome{ID: i + 1, Upstream: u.ID, Latency: ms, Status: ConnectFailed, Closed: true})
+		b.Outcome(now+ms, Outcome{ID: i + 1, Upstream: u.ID, Latency: ms, Status: ConnectFailed, RequestDone: true})
 	}
-	if u.wait > b.s.Rules.RampTime || u.freeAt > now+ms {
-		t.Errorf("waits %v between trials (ramp %v), no turn for another %v", u.wait, b.s.Rules.RampTime, u.freeAt-now)
+	if u.wait > b.s.Requirements.WarmupTime || u.freeAt > now+ms {
+		t.Errorf("waits %v between trials (ramp %v), no turn for another %v", u.wait, b.s.Requirements.WarmupTime, u.freeAt-now)
 	}
 }
 
@@ -298,7 +298,7 @@
 	b.Request(now, Request{ID: 1, Class: "keyed", Budget: time.Second})
 	b.Request(now, Request{ID: 2, Class: "read", Budget: time.Second})
 	dear := b.requests[1].sendBy - now
-	if cheap := b.requests[2].sendBy - now; dear < cheap+25*ms || dear > s.Classes[1].Aim {
+	if cheap := b.requests[2].sendBy - now; dear < cheap+25*ms || dear > s.Classes[1].LatencyTarget {
 		t.Errorf("a class of worth 15 is held for %v, one of worth 5 with the same aim for %v", dear, cheap)
 	}
 }
@@ -318,8 +318,8 @@
 		}
 		first = cmp.Or(first, now-time.Hour)
 	}
-	if in := now - time.Hour; h.count("refuse") != 2 || in+time.Duration(b.lat) > s.Classes[0].Aim || first < s.Classes[0].Aim/4 {
-		t.Errorf("two tries held for %v and %v with an aim of %v", first, in-first, s.Classes[0].Aim)
+	if in := now - time.Hour; h.count("refuse") != 2 || in+time.Duration(b.lat) > s.Classes[0].LatencyTarget || first < s.Classes[0].LatencyTarget/4 {
+		t.Errorf("two tries held for %v and %v with an aim of %v", first, in-first, s.Classes[0].LatencyTarget)
 	}
 }
 
@@ -358,7 +358,7 @@
 	for range 40 {
 		now += bandPeriod
 		for _, u := range b.near {
-			u.answers, u.last.Rate = 5, 25
+			u.answers, u.last.RequestRate = 5, 25
 		}
 		b.step(now)
 	}
@@ -424,8 +424,8 @@
 	if got := ask(60); got[2] == 0 {
 		t.Fatalf("at first: %v", got)
 	}
-	b.Maintain(now, 2, true)
-	b.Maintain(now, 2, true)
+	b.SetMaintenance(now, 2, true)
+	b.SetMaintenance(now, 2, true)
 	if got := ask(60); got[2] != 0 {
 		t.Errorf("left out: %v", got)
 	}
@@ -437,7 +437,7 @@
 	if got := ask(60); got[2] != 0 || got[3] == 0 {
 		t.Errorf("left out, and back on the list: %v", got)
 	}
-	b.Maintain(now, 2, false)
+	b.SetMaintenance(now, 2, false)
 	if u := b.byID[2]; !u.cold || u.coldAt != now {
 		t.Errorf("called back: cold %v since %v", u.cold, u.coldAt)
 	}
@@ -465,8 +465,8 @@
 	if len(b.held) == 0 {
 		t.Fatal("none is held")
 	}
-	b.Maintain(now, 1, true)
-	b.Maintain(now, 2, true)
+	b.SetMaintenance(now, 1, true)
+	b.SetMaintenance(now, 2, true)
 	if len(b.held) != 0 {
 		t.Errorf("%d are held for nobody", len(b.held))
 	}
@@ -474,7 +474,7 @@
 	if h.count("refuse id=77") != 1 {
 		t.Error("not refused at once")
 	}
-	b.Maintain(now, 2, false)
+	b.SetMaintenance(now, 2, false)
 	b.Request(now, Request{ID: 78, Class: "read", Budget: time.Second})
 	if h.count("refuse id=78") != 0 {
 		t.Error("refused with an upstream back")
@@ -490,7 +490,7 @@
 	now := time.Hour
 	u := b.byID[1]
 	for id := range RequestID(20) { // far more than there are places
-		b.Request(now, Request{ID: id + 1, Class: "write", Budget: time.Second, Open: true})
+		b.Request(now, Request{ID: id + 1, Class: "write", Budget: time.Second, Streaming: true})
 	}
 	if len(u.outs) != 20 || u.places() != 0 {
 		t.Fatalf("%d sent, %d places taken", len(u.outs), u.places())
@@ -502,15 +502,15 @@
 	if h.count("refuse")+h.count("fail")+h.count("cancel") != 0 || u.silent {
 		t.Fatalf("while it came: silent %v, %v", u.silent, h.lines)
 	}
-	b.Whole(now, 1)
+	b.BodyComplete(now, 1)
 	if u.places() != 1 {
 		t.Errorf("once whole it takes %d places", u.places())
 	}
-	b.Outcome(now+40*ms, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, Closed: true})
+	b.Outcome(now+40*ms, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true})
 	if got := time.Duration(u.lat); got != 40*ms {
 		t.Errorf("latency %v", got)
 	}
-	b.Whole(now, 2)
+	b.BodyComplete(now, 2)
 	if r := b.requests[2]; r.deadline != now+time.Second || r.attempts[0].sentAt != now {
 		t.Errorf("deadline %v after its last byte", r.deadline-now)
 	}
@@ -519,10 +519,10 @@
 // An open request goes to a second upstream only while its body can still be sent from the start, and never to two.
 func TestOpenRequestIsSentOnce(t *testing.T) {
 	s := settings()
-	s.Limits.SecondCopies = true
+	s.Limits.Hedging = true
 	b, h := start(t, s, fleet(4))
 	now := time.Hour
-	b.Request(now, Request{ID: 1, Class: "read", Budget: time.Second, Open: true})
+	b.Request(now, Request{ID: 1, Class: "read", Budget: time.Second, Streaming: true})
 	first := b.requests[1].attempts[0]
 	b.rescue(first, now)
 	if h.count("send id=1 ") != 1 {
@@ -532,7 +532,7 @@
 	if h.count("send id=1 ") != 2 {
 		t.Fatal("not sent elsewhere, though nothing of it was used up")
 	}
-	b.Outcome(now, Outcome{ID: 1, Upstream: b.requests[1].attempts[1].up.ID, Attempt: 1, Status: ConnectFailed, Spent: true})
+	b.Outcome(now, Outcome{ID: 1, Upstream: b.requests[1].attempts[1].up.ID, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
 	if h.count("send id=1 ") != 2 || h.count("refuse id=1 ") != 1 {
 		t.Errorf("used up, then: %v", h.lines)
 	}
@@ -544,7 +544,7 @@
 	now := time.Hour + 40*ms
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: time.Second})
 	u := b.byID[1]
-	b.Started(now, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, Closed: true, Load: Load{Fields: HasUtil, Util: 0.5}})
+	b.ResponseStarted(now, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true, Load: Load{Fields: HasUtil, Util: 0.5}})
 	if u.places() != 0 || u.readings != 1 || time.Duration(u.lat) != 40*ms {
 		t.Errorf("%d places, %d readings, latency %v", u.places(), u.readings, time.Duration(u.lat))
 	}
@@ -555,7 +555,7 @@
 	if u.silent || h.count("refuse")+h.count("fail")+h.count("cancel") != 0 {
 		t.Errorf("while it passes: silent %v, %v", u.silent, h.lines)
 	}
-	b.Outcome(now, Outcome{ID: 1, Upstream: 1, Latency: 5 * time.Second, Status: Reset, Closed: true})
+	b.Outcome(now, Outcome{ID: 1, Upstream: 1, Latency: 5 * time.Second, Status: Reset, RequestDone: true})
 	if time.Duration(u.lat) != 40*ms || len(b.requests) != 0 || len(u.outs) != 0 {
 		t.Errorf("at its end: latency %v, %d requests, %d out", time.Duration(u.lat), len(b.requests), len(u.outs))
 	}
@@ -574,7 +574,7 @@
 			b.Timer(now, tickToken)
 			b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 			a := b.requests[id].attempts[0]
-			b.Outcome(now, Outcome{ID: id, Upstream: a.up.ID, Latency: 50 * ms, Status: OK, Closed: true,
+			b.Outcome(now, Outcome{ID: id, Upstream: a.up.ID, Latency: 50 * ms, Status: OK, RequestDone: true,
 				Load: Load{Fields: HasUtil, Util: 0.5 + 0.001*float64(id%7)}})
 		}
 	}
@@ -599,7 +599,7 @@
 	period := func(others float64) {
 		now += bandPeriod
 		for _, u := range b.ups {
-			u.answers, u.last.Rate = 20, 20+others
+			u.answers, u.last.RequestRate = 20, 20+others
 		}
 		b.step(now)
 	}
--- a/slowstart.go
+++ b/slowstart.go
@@ -6,9 +6,9 @@
 
 // ramp is the share of its capacity that u is sure to have.
 func (b *Balancer) ramp(u *upstream, now time.Duration) float64 {
-	if u.cold && now-u.coldAt < b.s.Rules.RampTime {
-		from := b.s.Rules.ColdFrom
-		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Rules.RampTime))
+	if u.cold && now-u.coldAt < b.s.Requirements.WarmupTime {
+		from := b.s.Requirements.ColdCapacity
+		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Requirements.WarmupTime))
 	}
 	u.cold = false
 	return 1
@@ -28,13 +28,13 @@
 	if b.carry == 0 { // no warm upstream to judge by: one at a time, and as long a rest between two
 		return len(u.outs) == 0 && now-u.spentAt >= 2*time.Duration(b.lat*crowding)
 	}
-	rate := tipMargin * b.s.Rules.TipMultiple * b.ramp(u, now) * u.weight * b.carry / bandPeriod.Seconds()
+	rate := tipMargin * b.s.Requirements.OverloadFactor * b.ramp(u, now) * u.weight * b.carry / bandPeriod.Seconds()
 	leak := rate / 2
 	if u.readings > 0 && u.mean < fullUse { // it reports that it is far from its limit
 		leak = rate / crowding
 	}
 	u.spent, u.spentAt = max(0, u.spent-leak*(now-u.spentAt).Seconds()), now
-	room := max(0, rate/2/crowding*b.s.Rules.TipAfter.Seconds()-max(1, r.units))
+	room := max(0, rate/2/crowding*b.s.Requirements.OverloadWindow.Seconds()-max(1, r.units))
 	if u.spent > room {
 		b.log(now, "cold", "upstream %d is cold: %.1f sent of late, over %.1f no more fits", u.ID, u.spent, room)
 	}
--- a/state.go
+++ b/state.go
@@ -34,8 +34,8 @@
 
 // stake sets what the cheapest class is worth, of those that are worth anything, against one of a worth: at most 1.
 func (p *Plan) stake(worth float64) float64 {
-	if p.least < worth {
-		return p.least / worth
+	if p.minWorth < worth {
+		return p.minWorth / worth
 	}
 	return 1
 }
@@ -143,10 +143,10 @@
 	host                    Host
 	rng                     *rand.Rand
 	plan                    *Plan // in force
-	safest                  Repeat
+	safest                  Idempotency
 	classes                 map[string]*classStatistics // learnt, since the first use
 	tenants                 map[string]*tenant          // likewise
-	gone                    []Change                    // of which something is still to be forgotten
+	gone                    []PlanDiff                  // of which something is still to be forgotten
 	requests                map[RequestID]*request
 	byID                    map[UpstreamID]*upstream
 	ups                     []*upstream         // in order of arrival
@@ -174,7 +174,7 @@
 // adopt takes what a plan says apart from classes and tenants, which are looked up there.
 func (b *Balancer) adopt(p *Plan) {
 	b.plan, b.s, b.safest = p, p.s, p.safest
-	b.tick = max(p.s.Granularity, p.shortest/ticksPerAim, time.Millisecond)
+	b.tick = max(p.s.Granularity, p.minTarget/ticksPerAim, time.Millisecond)
 }
 
 // Plan returns the plan in force.
@@ -182,10 +182,10 @@
 
 // Reconfigure goes by another plan from now on; c is what that changes, for what is gone to be forgotten. What has been
 // taken keeps its terms, and what has been learnt stays. The work does not grow with what the plan holds.
-func (b *Balancer) Reconfigure(now time.Duration, p *Plan, c Change) {
+func (b *Balancer) Reconfigure(now time.Duration, p *Plan, c PlanDiff) {
 	moved := p.s.Balancers != b.s.Balancers || p.s.Rank != b.s.Rank
 	b.adopt(p)
-	if len(c.goneClasses)+len(c.goneTenants) > 0 {
+	if len(c.removedClasses)+len(c.removedTenants) > 0 {
 		b.gone = append(b.gone, c)
 	}
 	if moved { // another stretch of the ring
@@ -198,19 +198,19 @@
 func (b *Balancer) forget() {
 	for left := forgetMost * len(b.gone); left > 0 && len(b.gone) > 0; left-- { // faster where more is left to forget
 		c := &b.gone[0]
-		if n := len(c.goneClasses); n > 0 {
-			name := c.goneClasses[n-1]
-			if c.goneClasses = c.goneClasses[:n-1]; b.plan.classes[name] == nil {
+		if n := len(c.removedClasses); n > 0 {
+			name := c.removedClasses[n-1]
+			if c.removedClasses = c.removedClasses[:n-1]; b.plan.classes[name] == nil {
 				delete(b.classes, name)
 			}
-		} else if n := len(c.goneTenants); n > 0 {
-			name := c.goneTenants[n-1]
-			c.goneTenants = c.goneTenants[:n-1]
+		} else if n := len(c.removedTenants); n > 0 {
+			name := c.removedTenants[n-1]
+			c.removedTenants = c.removedTenants[:n-1]
 			if _, back := b.plan.tenants[name]; !back {
 				delete(b.tenants, name)
 			}
 		} else {
-			b.gone[0] = Change{}
+			b.gone[0] = PlanDiff{}
 			b.gone = b.gone[1:]
 		}
 	}
