--- a/api.go
+++ b/api.go
@@ -1,4 +1,4 @@
-// Package clayladder makes the decisions of a load-balancing proxy for fleets of HTTP servers: which upstream gets a
+// Package garnettide makes the decisions of a load-balancing proxy for fleets of HTTP servers: which upstream gets a
 // request, whether it is sent again, held, refused or failed, and how the upstream list is followed. It does no I/O.
 //
 // # Contract
@@ -17,7 +17,7 @@
 //
 // Every request gets exactly one final answer: a successful Outcome, Refuse or Fail. Refuse promises the client that
 // another try is harmless.
-package clayladder
+package garnettide
 
 import "time"
 
--- a/balancer.go
+++ b/balancer.go
@@ -1,9 +1,9 @@
-// The decisions of clayladder: requests and their repeats, concurrency limits, admission, and all constants.
+// The decisions of garnettide: requests and their repeats, concurrency limits, admission, and all constants.
 // subset.go has the subset of upstreams, bands.go the saturation bands, slowstart.go slow start, discovery.go
 // the calls of discovery and its lists, state.go quotas, budgets and changed settings. The interface is in
 // api.go, the check of settings in settings.go; docs/incidents tells why much of it is as it is.
 
-package clayladder
+package garnettide
 
 import (
 	"cmp"
--- a/bands.go
+++ b/bands.go
@@ -1,6 +1,6 @@
 // Saturation bands: utilisation readings, their band gap, and the shares that follow from it.
 
-package clayladder
+package garnettide
 
 import (
 	"cmp"
--- a/cmd/clayladder-sim/main.go
+++ b/cmd/clayladder-sim/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 // run answers batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
-	instances := map[int]*clayladder.Balancer{}
+	instances := map[int]*garnettide.Balancer{}
 	var batch wire.Batch
 	for {
 		err := reader.Next(&batch)
@@ -43,7 +43,7 @@
 }
 
 // deliver hands one event to its instance; a panic ends the day with its text.
-func deliver(instances map[int]*clayladder.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
+func deliver(instances map[int]*garnettide.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			wire.NewPort(w, e.Instance).Crash(fmt.Sprint(p))
@@ -52,7 +52,7 @@
 	}()
 	if e.Kind == wire.Attach {
 		port := wire.NewPort(w, e.Instance)
-		b, err := clayladder.New(e.Settings, e.Seed, now, port)
+		b, err := garnettide.New(e.Settings, e.Seed, now, port)
 		if err != nil {
 			port.Crash(err.Error())
 			return
--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -13,7 +13,7 @@
 	"runtime/debug"
 	"syscall"
 
-	"clayladder/internal/proxy"
+	"garnettide/internal/proxy"
 )
 
 func main() {
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/pflag"
 
-	"clayladder/internal/scale"
+	"garnettide/internal/scale"
 )
 
 func main() {
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/scale"
+	"garnettide/internal/scale"
 )
 
 // A run of two hollow balancers and one real one plays a scene, writes its table and the same as JSON, and ends its processes.
--- a/discovery.go
+++ b/discovery.go
@@ -1,6 +1,6 @@
 // When discovery is called, and what its lists change.
 
-package clayladder
+package garnettide
 
 import (
 	"math"
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -13,8 +13,8 @@
 	"strings"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // firstInherited is the first descriptor behind standard input, output and error.
@@ -32,7 +32,7 @@
 	MemoryMB  int
 	Sockets   int
 	Known     listing // the upstreams as last held, maybe stale
-	Plan      *clayladder.Plan
+	Plan      *garnettide.Plan
 	Links     wire.Links
 	Hash      string // of the file as it was read: the first twelve hex digits of its SHA-256
 	// SettingsInForce, if set, is called on the loop when a configuration that was read again is in force, with its Hash
@@ -97,15 +97,15 @@
 func decodeConfig(text io.Reader, work *slicer, override func(*file)) (Config, error) {
 	var c Config
 	var f file
-	var settings clayladder.Settings
-	var plan *clayladder.PlanBuilder
+	var settings garnettide.Settings
+	var plan *garnettide.PlanBuilder
 	d := wire.NewDecoder(text, work.step)
 	err := d.Object(func(key string) (err error) {
 		switch {
 		case strings.EqualFold(key, "known"):
 			err = decodeKnown(d, &c.Known)
 		case strings.EqualFold(key, "settings"):
-			plan = clayladder.NewPlanBuilder()
+			plan = garnettide.NewPlanBuilder()
 			settings, c.Links, err = d.Settings(plan.AddClass, plan.AddTenant)
 		default:
 			err = d.Field(key, &f)
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 const configText = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -95,11 +95,11 @@
 
 func TestNames(t *testing.T) {
 	n := newNames()
-	want(t, "hex", n.id("s-5be2a07c"), clayladder.UpstreamID(0x5be2a07c))
-	want(t, "the same again", n.id("s-5be2a07c"), clayladder.UpstreamID(0x5be2a07c))
+	want(t, "hex", n.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
+	want(t, "the same again", n.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
 	other := n.id("5be2a07c.example")
 	want(t, "another form", other, hashed("5be2a07c.example"))
-	seen := map[clayladder.UpstreamID]string{}
+	seen := map[garnettide.UpstreamID]string{}
 	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
 		id := n.id(text)
 		if seen[id] != "" {
@@ -125,22 +125,22 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	whole := clayladder.Load{Fields: clayladder.HasErrorRate | clayladder.HasUtil | clayladder.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
+	whole := garnettide.Load{Fields: garnettide.HasErrorRate | garnettide.HasUtil | garnettide.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
 	for _, c := range []struct {
 		name    string
 		reports []string
-		want    clayladder.Load
+		want    garnettide.Load
 	}{
 		{"whole", []string{"err_ps=0.5, load_share=0.61,mean_ms=14.5,other=3"}, whole},
-		{"none", nil, clayladder.Load{}},
-		{"empty", []string{""}, clayladder.Load{}},
-		{"half of it", []string{"load_share=0.61,mean_ms=x"}, clayladder.Load{}},
-		{"cut", []string{"load_share=0.61,mean"}, clayladder.Load{}},
-		{"two", []string{"load_share=0.61", "load_share=0.62"}, clayladder.Load{}},
-		{"a name twice", []string{"load_share=0.61,load_share=0.1"}, clayladder.Load{}},
-		{"not finite", []string{"load_share=NaN"}, clayladder.Load{}},
-		{"negative", []string{"load_share=-0.5"}, clayladder.Load{}},
-		{"more than all cores", []string{"load_share=61"}, clayladder.Load{}},
+		{"none", nil, garnettide.Load{}},
+		{"empty", []string{""}, garnettide.Load{}},
+		{"half of it", []string{"load_share=0.61,mean_ms=x"}, garnettide.Load{}},
+		{"cut", []string{"load_share=0.61,mean"}, garnettide.Load{}},
+		{"two", []string{"load_share=0.61", "load_share=0.62"}, garnettide.Load{}},
+		{"a name twice", []string{"load_share=0.61,load_share=0.1"}, garnettide.Load{}},
+		{"not finite", []string{"load_share=NaN"}, garnettide.Load{}},
+		{"negative", []string{"load_share=-0.5"}, garnettide.Load{}},
+		{"more than all cores", []string{"load_share=61"}, garnettide.Load{}},
 	} {
 		want(t, c.name, loadOf(c.reports), c.want)
 	}
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 const (
@@ -58,7 +58,7 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]clayladder.State{"up": clayladder.Active, "draining": clayladder.Draining, "removed": clayladder.Removed}
+var phases = map[string]garnettide.State{"up": garnettide.Active, "draining": garnettide.Draining, "removed": garnettide.Removed}
 
 // check tells what makes the entry unusable.
 func (m *member) check() error {
@@ -68,7 +68,7 @@
 		return fmt.Errorf("an entry has no id")
 	case !ok:
 		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
-	case state == clayladder.Removed:
+	case state == garnettide.Removed:
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
@@ -78,8 +78,8 @@
 }
 
 // upstream is the entry as the module takes it.
-func (m *member) upstream(id clayladder.UpstreamID) clayladder.Upstream {
-	return clayladder.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
+func (m *member) upstream(id garnettide.UpstreamID) garnettide.Upstream {
+	return garnettide.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
 		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock is Unix time at its start, so 0 stays 0
 }
 
@@ -91,15 +91,15 @@
 // differ at most in which of two such ids came first: their rings differ then, but
 // no two upstreams are ever mixed up. An id keeps its number until it is gone and nothing is out there.
 type names struct {
-	ids   map[string]clayladder.UpstreamID
-	taken map[clayladder.UpstreamID]bool
+	ids   map[string]garnettide.UpstreamID
+	taken map[garnettide.UpstreamID]bool
 }
 
 func newNames() *names {
-	return &names{ids: map[string]clayladder.UpstreamID{}, taken: map[clayladder.UpstreamID]bool{}}
+	return &names{ids: map[string]garnettide.UpstreamID{}, taken: map[garnettide.UpstreamID]bool{}}
 }
 
-func (n *names) id(text string) clayladder.UpstreamID {
+func (n *names) id(text string) garnettide.UpstreamID {
 	if id, ok := n.ids[text]; ok {
 		return id
 	}
@@ -140,19 +140,19 @@
 	x.known[id] = true
 }
 
-func plainID(text string) clayladder.UpstreamID {
+func plainID(text string) garnettide.UpstreamID {
 	if digits, ok := strings.CutPrefix(text, "s-"); ok {
 		if x, err := strconv.ParseUint(digits, 16, 32); err == nil {
-			return clayladder.UpstreamID(x)
+			return garnettide.UpstreamID(x)
 		}
 	}
 	return hashed(text)
 }
 
-func hashed(text string) clayladder.UpstreamID {
+func hashed(text string) garnettide.UpstreamID {
 	h := fnv.New32a()
 	io.WriteString(h, text) // never fails
-	return clayladder.UpstreamID(h.Sum32())
+	return garnettide.UpstreamID(h.Sum32())
 }
 
 // discovery asks one address for the list of upstreams and posts what it hears. It
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 const (
@@ -124,7 +124,7 @@
 
 // frontend takes requests from clients, hands them to the loop and writes its answers.
 type frontend struct {
-	plan     atomic.Pointer[clayladder.Plan] // in force
+	plan     atomic.Pointer[garnettide.Plan] // in force
 	held     *holder
 	post     func(event)
 	now      func() time.Duration
@@ -779,10 +779,10 @@
 		return nil, bad("the path does not begin with the class")
 	case id == "":
 		return nil, bad("X-Request-Id is wanted")
-	case (class.Idempotency == clayladder.Idempotent) != (method == http.MethodGet),
-		class.Idempotency != clayladder.Idempotent && method != http.MethodPost:
+	case (class.Idempotency == garnettide.Idempotent) != (method == http.MethodGet),
+		class.Idempotency != garnettide.Idempotent && method != http.MethodPost:
 		return nil, bad("the method does not fit the class")
-	case (class.Idempotency == clayladder.IdempotentByKey) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
+	case (class.Idempotency == garnettide.IdempotentByKey) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
 		return nil, bad("Idempotency-Key does not fit the class")
 	}
 	q := &request{name: id, reply: make(chan answer, 1)}
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 const (
@@ -39,7 +39,7 @@
 
 // request is a client's request. The frontend fills it in; from then on it is the loop's.
 type request struct {
-	clayladder.Request
+	garnettide.Request
 	name     string // the client's id of it
 	message  message
 	at       time.Duration // when its last byte had come
@@ -54,10 +54,10 @@
 
 // peer is what the loop knows of an upstream's address and connections.
 type peer struct {
-	id        clayladder.UpstreamID
+	id        garnettide.UpstreamID
 	name      string // discovery's id
 	address   string
-	state     clayladder.State
+	state     garnettide.State
 	idle      []*conn // the most recently used last
 	out       map[*attempt]struct{}
 	lingering int
@@ -91,7 +91,7 @@
 // loop owns the Balancer, from one goroutine. Everything here runs on that goroutine but for post, now and what is
 // started with go. It never waits for anything but its channels.
 type loop struct {
-	balancer  *clayladder.Balancer
+	balancer  *garnettide.Balancer
 	ctx       context.Context
 	events    chan event
 	lists     chan listed // taken before any event: no send after a drain that has been told
@@ -103,7 +103,7 @@
 	stopWatch context.CancelFunc // nil: the module does not follow discovery
 	dial      dialer
 	held      holder
-	settings  clayladder.Settings
+	settings  garnettide.Settings
 	idleFor   time.Duration
 	maxConns  int
 	inForce   func(revision uint64) // nil: nobody is told
@@ -113,10 +113,10 @@
 	told     bool // discovery has been heard by this process
 	serial   uint64
 	alarms   alarms
-	requests map[clayladder.RequestID]*request
+	requests map[garnettide.RequestID]*request
 	open     map[string]bool // the clients' ids of these
-	peers    map[clayladder.UpstreamID]*peer
-	off      map[string]clayladder.UpstreamID // in maintenance, by discovery's ids
+	peers    map[garnettide.UpstreamID]*peer
+	off      map[string]garnettide.UpstreamID // in maintenance, by discovery's ids
 	ids      *ids
 	conns    int              // connections to upstreams, open or opening
 	pending  []pendingOutcome // outcomes that are known but not told: the module is not called while it calls
@@ -126,24 +126,24 @@
 // pendingOutcome is an outcome to tell as soon as the module has returned.
 type pendingOutcome struct {
 	a      *attempt
-	status clayladder.Status
+	status garnettide.Status
 }
 
-var _ clayladder.Host = (*loop)(nil)
+var _ garnettide.Host = (*loop)(nil)
 
 func newLoop(ctx context.Context, c *Config) *loop {
 	l := &loop{ctx: ctx, events: make(chan event, 1024), lists: make(chan listed, 4), calls: make(chan called, adminConns), logs: make(chan string, logQueue),
 		origin: time.Now(), dial: dialer{open: net.DialTimeout, timeout: c.Links.ConnectTimeout}, settings: c.Plan.Settings(),
 		idleFor: idleFor(c.Links), maxConns: c.upstreamConns(),
-		names: newNames(), requests: map[clayladder.RequestID]*request{}, open: map[string]bool{},
-		peers: map[clayladder.UpstreamID]*peer{}, off: map[string]clayladder.UpstreamID{}, ids: newIDs(),
+		names: newNames(), requests: map[garnettide.RequestID]*request{}, open: map[string]bool{},
+		peers: map[garnettide.UpstreamID]*peer{}, off: map[string]garnettide.UpstreamID{}, ids: newIDs(),
 		inForce: c.ListInForce}
 	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
 	// is, also from before this process, and a clock that is set does not move it.
 	l.epoch = time.Duration(l.origin.UnixNano())
 	l.held.room.Store(c.held())
 	l.dial.now, l.dial.held = l.now, &l.held
-	l.dial.begin = func(a *attempt, r *relay, load clayladder.Load) { l.post(begun{a, r, load}) }
+	l.dial.begin = func(a *attempt, r *relay, load garnettide.Load) { l.post(begun{a, r, load}) }
 	l.discovery = newDiscovery(ctx, c.Discovery, l.list)
 	if c.Inherited == 0 { // else this process is ready once it has the list, and a watch answers only when that changes
 		l.discovery.hold(c.Known.Revision)
@@ -162,9 +162,9 @@
 
 // start makes the Balancer and tells it the upstreams that were known before.
 func (l *loop) start(c *Config, offline []string) {
-	l.balancer = clayladder.NewWithPlan(c.Plan, c.Seed, l.now(), l)
+	l.balancer = garnettide.NewWithPlan(c.Plan, c.Seed, l.now(), l)
 	l.obey(offline)
-	l.members(clayladder.ListCached, c.Known)
+	l.members(garnettide.ListCached, c.Known)
 	if !l.settings.PollDiscovery { // lists that are pushed come without the module's asking
 		l.Watch(true)
 	}
@@ -261,7 +261,7 @@
 	}
 	l.open[r.name] = true
 	l.serial++
-	r.ID = clayladder.RequestID(l.serial) // the module's own: what clients send need not be unique
+	r.ID = garnettide.RequestID(l.serial) // the module's own: what clients send need not be unique
 	now := l.now()
 	if r.Streaming = r.message.rest != nil; r.Streaming {
 		r.coming = true
@@ -326,7 +326,7 @@
 type begun struct {
 	*attempt
 	*relay
-	load clayladder.Load
+	load garnettide.Load
 }
 
 func (e begun) apply(l *loop) {
@@ -338,8 +338,8 @@
 	a.begun = true
 	l.answer(r, answer{status: http.StatusOK, kind: e.header.Get("Content-Type"), relay: e.relay})
 	now := l.now()
-	l.balancer.ResponseStarted(now, clayladder.Outcome{ID: r.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: clayladder.OK, RequestDone: true, Load: e.load})
+	l.balancer.ResponseStarted(now, garnettide.Outcome{ID: r.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
+		Status: garnettide.OK, RequestDone: true, Load: e.load})
 }
 
 // finished is the end of an attempt on its connection.
@@ -370,14 +370,14 @@
 	}
 	a.told = true
 	q, now := a.req, l.now()
-	if r.status == clayladder.OK && !q.closed {
+	if r.status == garnettide.OK && !q.closed {
 		l.answer(q, answer{status: http.StatusOK, body: r.body, kind: r.kind})
 	}
 	q.out--
 	a.neverRan = r.status.NeverRan()
 	closed := q.closed
 	l.release(q)
-	l.balancer.Outcome(now, clayladder.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
+	l.balancer.Outcome(now, garnettide.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
 		Status: r.status, RequestDone: closed, BodyConsumed: q.message.rest != nil && q.message.rest.taken.Load(), Load: r.load})
 }
 
@@ -392,12 +392,12 @@
 }
 
 // end stops waiting for an attempt. One that was never written is moot.
-func (l *loop) end(a *attempt, status clayladder.Status) {
+func (l *loop) end(a *attempt, status garnettide.Status) {
 	if a.told {
 		return
 	}
 	if a.drop() {
-		status = clayladder.NotSent
+		status = garnettide.NotSent
 	} else if a.stage.Load() >= claimed {
 		if a.sent == nil && (a.req.closed || l.now() >= a.req.deadline) && a.peer.lingering < lingerMost && l.usable(a.peer) {
 			a.lingers = true
@@ -414,7 +414,7 @@
 // expire ends an attempt whose time is up.
 func (l *loop) expire(a *attempt) {
 	if !a.told && !a.begun {
-		l.end(a, clayladder.Timeout)
+		l.end(a, garnettide.Timeout)
 	}
 }
 
@@ -432,7 +432,7 @@
 	r.closed = true
 	for _, a := range r.attempts {
 		if a.drop() {
-			l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
+			l.pending = append(l.pending, pendingOutcome{a, garnettide.NotSent})
 		}
 	}
 	l.release(r)
@@ -452,7 +452,7 @@
 // --- Host: what the module asks for ---
 
 // Send makes an attempt.
-func (l *loop) Send(id clayladder.RequestID, up clayladder.UpstreamID, timeout, window time.Duration) {
+func (l *loop) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, window time.Duration) {
 	r, p := l.requests[id], l.peers[up]
 	if r == nil || p == nil { // the module sends what it was told of, where it was told
 		l.Log(fmt.Sprintf("send of unknown request %d or upstream %d", id, up))
@@ -480,13 +480,13 @@
 	}
 	if r.closed || wait <= 0 || !l.usable(p) {
 		a.drop()
-		l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
+		l.pending = append(l.pending, pendingOutcome{a, garnettide.NotSent})
 		return
 	}
 	var room bool
 	if a.conn, room = l.connection(p, now); !room { // no fault of the upstream's
 		a.drop()
-		l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
+		l.pending = append(l.pending, pendingOutcome{a, garnettide.NotSent})
 		return
 	}
 	p.out[a] = struct{}{}
@@ -513,7 +513,7 @@
 }
 
 // Refuse answers a client that another try is harmless.
-func (l *loop) Refuse(id clayladder.RequestID, retryAfter time.Duration) {
+func (l *loop) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil {
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
@@ -523,7 +523,7 @@
 }
 
 // Fail answers a client with no promise.
-func (l *loop) Fail(id clayladder.RequestID) {
+func (l *loop) Fail(id garnettide.RequestID) {
 	if r := l.requests[id]; r != nil {
 		status := http.StatusBadGateway
 		if !r.coming && l.now() >= r.deadline {
@@ -534,9 +534,9 @@
 }
 
 // Cancel stops waiting for an attempt.
-func (l *loop) Cancel(id clayladder.RequestID, n int) {
+func (l *loop) Cancel(id garnettide.RequestID, n int) {
 	if r := l.requests[id]; r != nil && n >= 0 && n < len(r.attempts) && !r.attempts[n].begun {
-		l.pending = append(l.pending, pendingOutcome{r.attempts[n], clayladder.Cancelled})
+		l.pending = append(l.pending, pendingOutcome{r.attempts[n], garnettide.Cancelled})
 	}
 }
 
@@ -581,12 +581,12 @@
 func (l *loop) Fetch() { go l.discovery.fetch() }
 
 // Probe asks an upstream for its load.
-func (l *loop) Probe(up clayladder.UpstreamID) {
+func (l *loop) Probe(up garnettide.UpstreamID) {
 	p := l.peers[up]
 	if p == nil || !l.usable(p) {
 		return
 	}
-	b := &probe{peer: p, sentAt: l.now(), address: p.address, load: l.settings.Reports != clayladder.ReportNone}
+	b := &probe{peer: p, sentAt: l.now(), address: p.address, load: l.settings.Reports != garnettide.ReportNone}
 	var room bool
 	if b.conn, room = l.connection(p, b.sentAt); !room {
 		return
@@ -605,7 +605,7 @@
 func (e probed) apply(l *loop) {
 	l.keep(e.peer, e.result.conn)
 	now := l.now()
-	l.balancer.Probed(now, clayladder.ProbeResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.status, Load: e.result.load})
+	l.balancer.Probed(now, garnettide.ProbeResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.status, Load: e.result.load})
 }
 
 // --- Connections ---
@@ -674,7 +674,7 @@
 }
 
 // Disconnect closes the idle connections to an upstream.
-func (l *loop) Disconnect(up clayladder.UpstreamID) {
+func (l *loop) Disconnect(up garnettide.UpstreamID) {
 	if p := l.peers[up]; p != nil {
 		l.shut(p.idle...)
 		p.idle = nil
@@ -683,7 +683,7 @@
 
 // forget drops an upstream that is gone and has nothing out.
 func (l *loop) forget(p *peer) {
-	if p.state == clayladder.Removed && len(p.out) == 0 && l.peers[p.id] == p {
+	if p.state == garnettide.Removed && len(p.out) == 0 && l.peers[p.id] == p {
 		delete(l.peers, p.id)
 		l.unname(p.name)
 	}
@@ -699,7 +699,7 @@
 // usable tells whether something may be sent to p.
 func (l *loop) usable(p *peer) bool {
 	_, off := l.off[p.name]
-	return p.state == clayladder.Active && !off
+	return p.state == garnettide.Active && !off
 }
 
 // obey goes by what operators have called for, and tells what maintain does.
@@ -741,7 +741,7 @@
 		l.Disconnect(number)
 		for a := range p.out {
 			if a.drop() { // it waited for a connection
-				l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
+				l.pending = append(l.pending, pendingOutcome{a, garnettide.NotSent})
 			}
 			written = written && a.stage.Load() != claimed
 		}
@@ -759,18 +759,18 @@
 		return
 	case errors.Is(x.err, errSilent):
 		l.Log(x.err.Error())
-		l.balancer.Members(l.now(), clayladder.ListStale, nil)
+		l.balancer.Members(l.now(), garnettide.ListStale, nil)
 	case x.err != nil:
 		l.Log(x.err.Error())
-		l.balancer.Members(l.now(), clayladder.ListFailed, nil)
+		l.balancer.Members(l.now(), garnettide.ListFailed, nil)
 	case x.Revision < l.revision: // overtaken by a newer one: it must not undo that
 		l.Log(fmt.Sprintf("discovery: revision %d after %d passed over", x.Revision, l.revision))
 	case x.Complete:
 		l.told = true
-		l.members(clayladder.ListFull, x.listing)
+		l.members(garnettide.ListFull, x.listing)
 	default:
 		l.told = true
-		l.members(clayladder.ListDelta, x.listing)
+		l.members(garnettide.ListDelta, x.listing)
 	}
 	l.settle()
 }
@@ -786,10 +786,10 @@
 
 // members applies a list: first to the peers, so that nothing goes to one that drains, then to the module, which
 // may send at once.
-func (l *loop) members(mode clayladder.ListMode, x listing) {
+func (l *loop) members(mode garnettide.ListMode, x listing) {
 	l.revision = x.Revision
-	list := make([]clayladder.Upstream, 0, len(x.Members))
-	named := make(map[clayladder.UpstreamID]bool, len(x.Members))
+	list := make([]garnettide.Upstream, 0, len(x.Members))
+	named := make(map[garnettide.UpstreamID]bool, len(x.Members))
 	for i := range x.Members {
 		m := &x.Members[i]
 		u := m.upstream(l.names.id(m.ID))
@@ -799,14 +799,14 @@
 		l.peer(u, m)
 	}
 	for id, p := range l.peers {
-		if mode != clayladder.ListDelta && !named[id] {
-			p.state = clayladder.Removed
+		if mode != garnettide.ListDelta && !named[id] {
+			p.state = garnettide.Removed
 			l.Disconnect(id)
 		}
-		if p.state != clayladder.Active {
+		if p.state != garnettide.Active {
 			for a := range p.out {
 				if a.drop() { // its upstream left while it waited for a connection
-					l.pending = append(l.pending, pendingOutcome{a, clayladder.NotSent})
+					l.pending = append(l.pending, pendingOutcome{a, garnettide.NotSent})
 				}
 			}
 		}
@@ -822,20 +822,20 @@
 }
 
 // peer applies a list's entry.
-func (l *loop) peer(u clayladder.Upstream, m *member) {
+func (l *loop) peer(u garnettide.Upstream, m *member) {
 	p, address := l.peers[u.ID], m.HostPort
 	if p == nil {
-		if u.State == clayladder.Removed {
+		if u.State == garnettide.Removed {
 			l.unname(m.ID)
 			return
 		}
 		p = &peer{id: u.ID, name: m.ID, out: map[*attempt]struct{}{}}
 		l.peers[u.ID] = p
 	}
-	if p.state = u.State; u.State != clayladder.Active || (address != p.address && p.address != "") {
+	if p.state = u.State; u.State != garnettide.Active || (address != p.address && p.address != "") {
 		l.Disconnect(u.ID)
 	}
-	if u.State != clayladder.Removed {
+	if u.State != garnettide.Removed {
 		p.address = address
 	}
 }
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 // hand is a loop that a test turns by hand.
 type hand struct {
 	*loop
 	t    *testing.T
-	plan *clayladder.Plan
+	plan *garnettide.Plan
 }
 
 func newHand(t *testing.T) *hand {
@@ -287,7 +287,7 @@
 	case <-servers[order[1]].arrivals:
 		return 2
 	case e := <-h.events: // it ended without
-		want(t, "how it ended", e.(finished).status, clayladder.NotSent)
+		want(t, "how it ended", e.(finished).status, garnettide.NotSent)
 		return 1
 	}
 }
@@ -406,7 +406,7 @@
 	r := h.begin("read", "1", 4*time.Second)
 	want(t, "first", <-told, "1 written")
 	<-s.arrivals
-	h.end(r.attempts[0], clayladder.Timeout)
+	h.end(r.attempts[0], garnettide.Timeout)
 	if len(r.attempts) == 1 { // the module waits for a turn
 		h.Send(r.ID, r.attempts[0].peer.id, 0, 0)
 	}
@@ -421,7 +421,7 @@
 	h.list(20, up("s-00000001", s))
 	r := h.begin("read", "1", 4*time.Second)
 	e := <-h.events // the answer, which the loop has not heard of
-	h.end(r.attempts[0], clayladder.Timeout)
+	h.end(r.attempts[0], garnettide.Timeout)
 	e.apply(h.loop)
 	want(t, "connections kept", len(h.peers[r.attempts[0].peer.id].idle), 0)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 	"testing/synctest"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 // settingsText has a class of each kind. Discovery is asked again at once after a failure.
@@ -274,8 +274,8 @@
 				return d.run(&attempt{req: &request{}, peer: p, address: s.addr, conn: c, message: &m, wait: time.Second})
 			}
 			first := send(nil)
-			want(t, "first", first.status, clayladder.OK)
-			want(t, "second", send(first.conn).status, clayladder.Reset)
+			want(t, "first", first.status, garnettide.OK)
+			want(t, "second", send(first.conn).status, garnettide.Reset)
 			want(t, "requests written", len(s.arrivals), 2)
 			want(t, "connections", s.opened(), 1)
 		})
@@ -343,12 +343,12 @@
 		return d.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr, conn: c, message: &m, wait: time.Second})
 	}
 	r := run(c)
-	want(t, "first", r.status, clayladder.OK)
+	want(t, "first", r.status, garnettide.OK)
 	<-closed
 	if _, err := r.conn.in.Peek(1); err == nil { // the end has come
 		t.Fatal("bytes on an idle connection")
 	}
-	want(t, "second", run(r.conn).status, clayladder.OK)
+	want(t, "second", run(r.conn).status, garnettide.OK)
 	want(t, "connections", s.opened(), 2)
 }
 
@@ -362,40 +362,40 @@
 		status any
 		keeps  bool
 	}{
-		{"served", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), clayladder.OK, true},
-		{"served in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), clayladder.OK, true},
-		{"served, then closed", raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", false), clayladder.OK, false},
-		{"served after a 1xx", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), clayladder.OK, true},
-		{"a second copy behind it", raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), clayladder.OK, false},
-		{"noise behind it", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab?", true), clayladder.OK, false},
-		{"1xx without end", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1), true), clayladder.Error, false},
-		{"101", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), clayladder.Error, false},
-		{"a head without end", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHead/10), true), clayladder.Error, false},
-		{"a line without end", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHead), true), clayladder.Error, false},
-		{"ended by the connection's end", raw("HTTP/1.1 200 OK\r\n\r\nab", false), clayladder.OK, false},
-		{"no body for 204", raw("HTTP/1.1 204 No Content\r\n\r\n", true), clayladder.Error, true},
-		{"a trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true), clayladder.OK, true},
-		{"a trailer without end", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHead/10), true), clayladder.Error, false},
-		{"cut short in the trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false), clayladder.Reset, false},
-		{"both framings", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), clayladder.Error, false},
-		{"two lengths", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), clayladder.Error, false},
-		{"a negative length", raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab", true), clayladder.Error, false},
-		{"noise for a chunk", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n", true), clayladder.Error, false},
-		{"a status that is none", raw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nab", true), clayladder.Error, false},
-		{"a field without a colon", raw("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab", true), clayladder.Error, false},
-		{"a blank in a field's name", raw("HTTP/1.1 200 OK\r\nContent-Length : 3\r\nContent-Length: 2\r\n\r\nab", true), clayladder.Error, false},
-		{"3 GB", raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), clayladder.Error, false},
-		{"error", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), clayladder.Error, true},
-		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), clayladder.Error, true},
-		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Rejected, true},
-		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Rejected, true},
-		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), clayladder.Error, true},
-		{"closed without an answer", raw("", false), clayladder.Reset, false},
-		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), clayladder.Reset, false},
-		{"cut short in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), clayladder.Reset, false},
-		{"no HTTP", raw("what?\r\n\r\n", false), clayladder.Error, false},
-		{"over the bound", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStream+1), true), clayladder.Error, false},
-		{"an error of many bytes", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), clayladder.Error, false},
+		{"served", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), garnettide.OK, true},
+		{"served in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.OK, true},
+		{"served, then closed", raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", false), garnettide.OK, false},
+		{"served after a 1xx", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.OK, true},
+		{"a second copy behind it", raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), garnettide.OK, false},
+		{"noise behind it", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab?", true), garnettide.OK, false},
+		{"1xx without end", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1), true), garnettide.Error, false},
+		{"101", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"a head without end", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHead/10), true), garnettide.Error, false},
+		{"a line without end", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHead), true), garnettide.Error, false},
+		{"ended by the connection's end", raw("HTTP/1.1 200 OK\r\n\r\nab", false), garnettide.OK, false},
+		{"no body for 204", raw("HTTP/1.1 204 No Content\r\n\r\n", true), garnettide.Error, true},
+		{"a trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true), garnettide.OK, true},
+		{"a trailer without end", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHead/10), true), garnettide.Error, false},
+		{"cut short in the trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false), garnettide.Reset, false},
+		{"both framings", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.Error, false},
+		{"two lengths", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"a negative length", raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab", true), garnettide.Error, false},
+		{"noise for a chunk", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n", true), garnettide.Error, false},
+		{"a status that is none", raw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"a field without a colon", raw("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"a blank in a field's name", raw("HTTP/1.1 200 OK\r\nContent-Length : 3\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"3 GB", raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), garnettide.Error, false},
+		{"error", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
+		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
+		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"closed without an answer", raw("", false), garnettide.Reset, false},
+		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), garnettide.Reset, false},
+		{"cut short in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), garnettide.Reset, false},
+		{"no HTTP", raw("what?\r\n\r\n", false), garnettide.Error, false},
+		{"over the bound", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStream+1), true), garnettide.Error, false},
+		{"an error of many bytes", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), garnettide.Error, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, c.answer)
@@ -403,7 +403,7 @@
 			r := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr, message: &m, wait: time.Second})
 			want(t, "status", any(r.status), c.status)
 			want(t, "kept", r.conn != nil, c.keeps)
-			if c.status == clayladder.OK {
+			if c.status == garnettide.OK {
 				want(t, "body", string(r.body), "ab")
 			}
 		})
@@ -443,7 +443,7 @@
 	m := message{line: "POST /x", host: "x"}
 	r := dialer{open: open, timeout: time.Second, held: newHolder()}.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr,
 		message: &m, wait: time.Second})
-	want(t, "status", r.status, clayladder.Reset)
+	want(t, "status", r.status, garnettide.Reset)
 	want(t, "body", string(r.body), "")
 }
 
@@ -454,14 +454,14 @@
 	}
 	l.Close()
 	d := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}
-	want(t, "refused", d.run(&attempt{address: l.Addr().String()}).status, clayladder.ConnectFailed)
+	want(t, "refused", d.run(&attempt{address: l.Addr().String()}).status, garnettide.ConnectFailed)
 
 	// What waits for its connection when its request ends or its upstream leaves is not sent any more.
 	s := newServer(t, okAll)
 	a := &attempt{req: &request{}, address: s.addr, message: &message{line: "POST /x", host: "x"}, wait: time.Second}
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
-	want(t, "status", r.status, clayladder.NotSent)
+	want(t, "status", r.status, garnettide.NotSent)
 	want(t, "still of use", r.conn != nil && r.conn.fresh() == nil, true)
 	want(t, "requests written", len(s.arrivals), 0)
 }
@@ -606,7 +606,7 @@
 	for _, c := range badClients() {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *clayladder.Settings) {})
+				v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
 				close(v.gate)
 				v.tell(50, v.upstream(okAll).member("s-00000001"))
 				synctest.Wait()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // This file puts a configuration in force that has changed: it is read, checked and built away from the loop, and handed
@@ -106,8 +106,8 @@
 type Reload struct {
 	Discovery string
 	Links     wire.Links
-	Plan      *clayladder.Plan
-	PlanDiff  clayladder.PlanDiff // over the Reload before
+	Plan      *garnettide.Plan
+	PlanDiff  garnettide.PlanDiff // over the Reload before
 	Hash      string
 
 	signal  time.Time
@@ -133,7 +133,7 @@
 		l.discovery.end()
 		l.discovery, l.revision = newDiscovery(l.ctx, e.Discovery, l.list), 0
 		if l.stopWatch != nil {
-			l.balancer.Members(l.now(), clayladder.ListStale, nil)
+			l.balancer.Members(l.now(), garnettide.ListStale, nil)
 		}
 	}
 	took := time.Since(e.signal)
@@ -154,7 +154,7 @@
 type Reloader struct {
 	getenv func(string) string
 	start  Config           // what can't change
-	plan   *clayladder.Plan // of the Reload before, or of the start
+	plan   *garnettide.Plan // of the Reload before, or of the start
 	last   Reload           // that one, without what it changed
 	hash   string           // of the file in force
 	noted  time.Time        // the first signal since the one that is being followed; zero: none
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -28,8 +28,8 @@
 	"time"
 	"unsafe"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // configWith returns a configuration of settingsText in which old and new, in turn, are replaced.
@@ -347,7 +347,7 @@
 	s := newServer(t, okAll)
 	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
 	r.reload(t, added("parcel")...)
-	in := func() (p *clayladder.Plan) {
+	in := func() (p *garnettide.Plan) {
 		r.loopSays(func(l *loop) bool { p = l.balancer.Plan(); return true })
 		return p
 	}
@@ -694,7 +694,7 @@
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
 	l.Watch(false)
-	l.members(clayladder.ListFull, listing{})
+	l.members(garnettide.ListFull, listing{})
 	r := NewReloader(getenv, c)
 	r.log = slog.New(slog.DiscardHandler)
 	c = Config{}
@@ -752,7 +752,7 @@
 		steps++
 		most, last = max(most, in.n-last), in.n
 	})
-	plan := clayladder.NewPlanBuilder()
+	plan := garnettide.NewPlanBuilder()
 	if err := d.Object(func(key string) error {
 		if key != "settings" {
 			return d.Field(key, &file{})
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -17,7 +17,7 @@
 	"testing/synctest"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 // text returns n bytes of which no two stretches are alike.
@@ -84,7 +84,7 @@
 // its own: on a busy machine the upstream of the test took over 4 s to read and answer 32 MB, which is a 504 by right.
 func TestLargeBodiesPassUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *clayladder.Settings) {})
+		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
 		close(v.gate)
 		u := v.upstream(okAll)
 		u.serve = echoBodies
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // This file carries out one attempt on one connection. http.Transport is not used
@@ -171,8 +171,8 @@
 
 // result is how an attempt ended, with its connection if that can serve again.
 type result struct {
-	status clayladder.Status
-	load   clayladder.Load
+	status garnettide.Status
+	load   garnettide.Load
 	body   []byte
 	kind   string // the body's Content-Type
 	conn   *conn
@@ -184,7 +184,7 @@
 	timeout time.Duration
 	now     func() time.Duration // the loop's clock
 	held    *holder
-	begin   func(*attempt, *relay, clayladder.Load) // tells of an answer that passes on
+	begin   func(*attempt, *relay, garnettide.Load) // tells of an answer that passes on
 }
 
 // connect returns the idle connection if it still stands, or a new one.
@@ -206,12 +206,12 @@
 func (d dialer) run(a *attempt) result {
 	c, err := d.connect(a.conn, a.address)
 	if err != nil {
-		return result{status: clayladder.ConnectFailed}
+		return result{status: garnettide.ConnectFailed}
 	}
 	a.conn = c
 	wait, ok := d.claim(a)
 	if !ok {
-		return result{status: clayladder.NotSent, conn: c}
+		return result{status: garnettide.NotSent, conn: c}
 	}
 	// A machine that has gone silent takes bytes until its buffers are full, and then none for ever.
 	c.SetWriteDeadline(time.Now().Add(wait))
@@ -220,19 +220,19 @@
 	if a.stage.Store(written); err != nil {
 		c.Close()
 		if errors.Is(err, errPart) || a.sent != nil { // certain: the last byte never left this process
-			return result{status: clayladder.ConnectFailed}
+			return result{status: garnettide.ConnectFailed}
 		}
-		return result{status: clayladder.Reset}
+		return result{status: garnettide.Reset}
 	}
 	if a.sent != nil {
 		go a.upload(a.message.rest, len(tail) > 0)
 	}
 	r := d.take(a)
 	if a.sent != nil {
-		if a.message.rest.end(); !a.whole.Load() && r.status == clayladder.Reset {
-			r.status = clayladder.ConnectFailed // its last byte never left this process
+		if a.message.rest.end(); !a.whole.Load() && r.status == garnettide.Reset {
+			r.status = garnettide.ConnectFailed // its last byte never left this process
 			if a.cut.Load() {
-				r.status = clayladder.NotSent // which says nothing of the upstream
+				r.status = garnettide.NotSent // which says nothing of the upstream
 			}
 		}
 	}
@@ -352,13 +352,13 @@
 	if !a.uploaded() {
 		m.ends = true
 	}
-	r := result{status: clayladder.Error, load: loadOf(m.header["X-Load"])}
+	r := result{status: garnettide.Error, load: loadOf(m.header["X-Load"])}
 	switch {
 	case m.status == http.StatusOK:
-		r.status, r.kind = clayladder.OK, m.header.Get("Content-Type")
+		r.status, r.kind = garnettide.OK, m.header.Get("Content-Type")
 	case (m.status == http.StatusServiceUnavailable || m.status == http.StatusGatewayTimeout) &&
 		m.header.Get("X-Not-Run") == "1": // without that mark it may have run
-		r.status = clayladder.Rejected
+		r.status = garnettide.Rejected
 	}
 	begins := time.Now().Add(holdFor)
 	body, whole, err := d.held.gather(m.body, func() bool {
@@ -371,16 +371,16 @@
 	case whole:
 		d.held.give(body)
 		r.body = body
-	case r.status != clayladder.OK || a.req == nil: // too long to be read to its end for nobody
+	case r.status != garnettide.OK || a.req == nil: // too long to be read to its end for nobody
 		d.held.give(body)
-		r.status, m.ends = clayladder.Error, true
+		r.status, m.ends = garnettide.Error, true
 	default:
 		rl := &relay{reply: m, conn: c, held: body, end: make(chan error, 1)}
 		d.begin(a, rl, r.load)
 		err := <-rl.end
 		if d.held.give(body); err != nil {
 			c.Close()
-			return result{status: clayladder.Reset}
+			return result{status: garnettide.Reset}
 		}
 	}
 	// Bytes behind the answer are a second copy or noise: the next request's answer would be read from them.
@@ -393,19 +393,19 @@
 }
 
 // broken tells an answer that can't be read from one that never came.
-func broken(err error) clayladder.Status {
+func broken(err error) garnettide.Status {
 	for _, spoilt := range []error{errHead, errLong, errFrame, errLarge} {
 		if errors.Is(err, spoilt) {
-			return clayladder.Error
+			return garnettide.Error
 		}
 	}
-	return clayladder.Reset
+	return garnettide.Reset
 }
 
 // loadOf reads a load report: name=value pairs. One that can't be read in full, or stands there more than once, tells
 // nothing: a half of it must not move shares.
-func loadOf(reports []string) clayladder.Load {
-	var l clayladder.Load
+func loadOf(reports []string) garnettide.Load {
+	var l garnettide.Load
 	if len(reports) != 1 {
 		return l
 	}
@@ -414,13 +414,13 @@
 		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(v, 64)
 		if err != nil || name == "" || named[name] || !(x >= 0 && x <= math.MaxInt32) {
-			return clayladder.Load{}
+			return garnettide.Load{}
 		}
 		named[name] = true
 		wire.SetLoad(&l, name, x)
 	}
 	if l.Util > maxUtil {
-		return clayladder.Load{}
+		return garnettide.Load{}
 	}
 	return l
 }
@@ -429,7 +429,7 @@
 func (d dialer) probe(p *probe) (r result) {
 	c, err := d.connect(p.conn, p.address)
 	if err != nil {
-		return result{status: clayladder.ConnectFailed}
+		return result{status: garnettide.ConnectFailed}
 	}
 	path := "/healthz"
 	if p.load {
@@ -438,10 +438,10 @@
 	c.SetDeadline(time.Now().Add(d.timeout))
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+p.address+"\r\n\r\n"); err != nil {
 		c.Close()
-		return result{status: clayladder.ConnectFailed}
+		return result{status: garnettide.ConnectFailed}
 	}
 	r = d.take(&attempt{conn: c})
-	if p.load && r.status == clayladder.OK {
+	if p.load && r.status == garnettide.OK {
 		if l := loadOf([]string{strings.TrimSpace(string(r.body))}); l.Fields != 0 {
 			r.load = l
 		}
--- a/internal/proxy/virtual_test.go
+++ b/internal/proxy/virtual_test.go
@@ -17,8 +17,8 @@
 	"testing/synctest"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // A network within the process, for balancers whose clock is a bubble's of testing/synctest.
@@ -167,7 +167,7 @@
 }
 
 // virtualConfig is a configuration without a list, with the settings that set leaves.
-func virtualConfig(t *testing.T, set func(*Config, *clayladder.Settings)) Config {
+func virtualConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
 	t.Helper()
 	c, err := load(t, configText, nil)
 	if err != nil {
@@ -179,14 +179,14 @@
 	}
 	c.Known = listing{}
 	set(&c, &settings)
-	if c.Plan, err = clayladder.NewPlan(settings, func() {}); err != nil {
+	if c.Plan, err = garnettide.NewPlan(settings, func() {}); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
 func newVirtual(t *testing.T, silent *os.File, discovery func(context.Context, string, string) (net.Conn, error),
-	set func(*Config, *clayladder.Settings)) *virtual {
+	set func(*Config, *garnettide.Settings)) *virtual {
 	t.Helper()
 	c := virtualConfig(t, set)
 	ctx, end := context.WithCancel(t.Context())
@@ -267,7 +267,7 @@
 		for _, leaves := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leaves %v", name, leaves), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					v := newVirtual(t, silentPipe(t), noDiscovery, func(_ *Config, s *clayladder.Settings) { s.Limits.Hedging = true })
+					v := newVirtual(t, silentPipe(t), noDiscovery, func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
 					ours, theirs := memPipe(v.silent)
 					begin := c.meet(v, func() {
 						synctest.Wait() // the list
@@ -310,7 +310,7 @@
 // no read shows it, and an attempt that was written went by what reading had shown. The system tells of it without a read.
 func TestNothingBeginsOnceTheClientOfAHeldUploadHasGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *clayladder.Settings) {})
+		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
 		close(v.gate)
 		u := v.upstream(okAll)
 		ours, theirs := memPipe(v.silent)
@@ -469,7 +469,7 @@
 							if young {
 								d.lose(c.down)
 							}
-							v := newVirtual(t, d.listener.silent, d.dial, func(x *Config, s *clayladder.Settings) {
+							v := newVirtual(t, d.listener.silent, d.dial, func(x *Config, s *garnettide.Settings) {
 								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
 								if young { // its first call comes at once, and has no list to go on from
 									x.Inherited, s.Balancers = firstInherited, 1
@@ -530,7 +530,7 @@
 					var ready atomic.Int32
 					var ended, asked sync.WaitGroup
 					for rank := range balancers {
-						x := virtualConfig(t, func(x *Config, s *clayladder.Settings) {
+						x := virtualConfig(t, func(x *Config, s *garnettide.Settings) {
 							x.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
 							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
 						})
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -170,7 +170,7 @@
 		t.Fatalf("packages: %v", packages)
 	}
 	for _, p := range packages {
-		if p != "clayladder" && !strings.HasPrefix(p, "clayladder/") || strings.HasPrefix(p, "clayladder/internal/scale") {
+		if p != "garnettide" && !strings.HasPrefix(p, "garnettide/") || strings.HasPrefix(p, "garnettide/internal/scale") {
 			t.Errorf("the programs hold %s", p)
 		}
 	}
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/proxy"
+	"garnettide/internal/proxy"
 )
 
 // This file holds hollow balancers: the real loop, module, discovery client and reload path, many in one process, without
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/proxy"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/proxy"
+	"garnettide/internal/wire"
 )
 
 // What one process spends, measured by calling the module and the reading of the configuration as the balancer does,
@@ -210,25 +210,25 @@
 	return float64(m.HeapAlloc) / 1e6
 }
 
-// host is a clayladder.Host that does nothing but note what was asked last.
+// host is a garnettide.Host that does nothing but note what was asked last.
 type host struct {
 	sent, refused int // how often
-	id            clayladder.RequestID
-	up            clayladder.UpstreamID
+	id            garnettide.RequestID
+	up            garnettide.UpstreamID
 	tick          uint64 // token of the first timer: the row of ticks
 	timers        int
 }
 
-var _ clayladder.Host = (*host)(nil)
+var _ garnettide.Host = (*host)(nil)
 
-func (h *host) Send(id clayladder.RequestID, up clayladder.UpstreamID, _, _ time.Duration) {
+func (h *host) Send(id garnettide.RequestID, up garnettide.UpstreamID, _, _ time.Duration) {
 	h.sent, h.id, h.up = h.sent+1, id, up
 }
-func (h *host) Refuse(clayladder.RequestID, time.Duration) { h.refused++ }
-func (h *host) Fail(clayladder.RequestID)                  {}
-func (h *host) Cancel(clayladder.RequestID, int)           {}
-func (h *host) Probe(clayladder.UpstreamID)                {}
-func (h *host) Disconnect(clayladder.UpstreamID)           {}
+func (h *host) Refuse(garnettide.RequestID, time.Duration) { h.refused++ }
+func (h *host) Fail(garnettide.RequestID)                  {}
+func (h *host) Cancel(garnettide.RequestID, int)           {}
+func (h *host) Probe(garnettide.UpstreamID)                {}
+func (h *host) Disconnect(garnettide.UpstreamID)           {}
 func (h *host) Watch(bool)                                 {}
 func (h *host) Fetch()                                     {}
 func (h *host) Log(string)                                 {}
@@ -241,18 +241,18 @@
 // --- What is fed to it ---
 
 // settingsOf are settings of the fleet ahead with so many classes and tenants.
-func settingsOf(classes, tenants int) clayladder.Settings {
-	s := clayladder.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
-		Weights: clayladder.WeightNominal, Reports: clayladder.ReportInResponses, Granularity: 5 * time.Millisecond,
-		Limits: clayladder.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 3},
-		Requirements: clayladder.Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3,
+func settingsOf(classes, tenants int) garnettide.Settings {
+	s := garnettide.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
+		Weights: garnettide.WeightNominal, Reports: garnettide.ReportInResponses, Granularity: 5 * time.Millisecond,
+		Limits: garnettide.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 3},
+		Requirements: garnettide.Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3,
 			OverloadWindow: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerSlack: 20 * time.Millisecond}}
 	for i := range classes {
-		s.Classes = append(s.Classes, clayladder.Class{Name: className(i), LatencyTarget: 300 * time.Millisecond, Deadline: time.Second,
-			Idempotency: clayladder.Idempotency(i % 2), DedupWindow: 400 * time.Millisecond, Worth: float64(1 + i%7), LateWorth: 0.2})
+		s.Classes = append(s.Classes, garnettide.Class{Name: className(i), LatencyTarget: 300 * time.Millisecond, Deadline: time.Second,
+			Idempotency: garnettide.Idempotency(i % 2), DedupWindow: 400 * time.Millisecond, Worth: float64(1 + i%7), LateWorth: 0.2})
 	}
 	for i := range tenants {
-		s.Tenants = append(s.Tenants, clayladder.Tenant{Name: tenantName(i), Quota: 2.1})
+		s.Tenants = append(s.Tenants, garnettide.Tenant{Name: tenantName(i), Quota: 2.1})
 	}
 	return s
 }
@@ -261,10 +261,10 @@
 func tenantName(i int) string { return fmt.Sprintf("customer-%06d", i) }
 
 // upstreamList are n upstreams that all are up.
-func upstreamList(n int) []clayladder.Upstream {
-	ups := make([]clayladder.Upstream, n)
+func upstreamList(n int) []garnettide.Upstream {
+	ups := make([]garnettide.Upstream, n)
 	for i := range ups {
-		ups[i] = clayladder.Upstream{ID: clayladder.UpstreamID(i)*2654435761 + 1, Zone: zone(i), Cell: i % 11, Weight: 1}
+		ups[i] = garnettide.Upstream{ID: garnettide.UpstreamID(i)*2654435761 + 1, Zone: zone(i), Cell: i % 11, Weight: 1}
 	}
 	return ups
 }
@@ -272,13 +272,13 @@
 func zone(i int) string { return "z" + strconv.Itoa(1+i%7) }
 
 // balancer is a Balancer with its list, and its Host.
-func balancer(upstreams, classes, tenants int) (*clayladder.Balancer, *host, error) {
+func balancer(upstreams, classes, tenants int) (*garnettide.Balancer, *host, error) {
 	h := &host{}
-	b, err := clayladder.New(settingsOf(classes, tenants), 1, 0, h)
+	b, err := garnettide.New(settingsOf(classes, tenants), 1, 0, h)
 	if err != nil {
 		return nil, nil, err
 	}
-	b.Members(0, clayladder.ListFull, upstreamList(upstreams))
+	b.Members(0, garnettide.ListFull, upstreamList(upstreams))
 	return b, h, nil
 }
 
@@ -333,14 +333,14 @@
 	if err != nil {
 		return 0, err
 	}
-	now, id := time.Duration(0), clayladder.RequestID(0)
+	now, id := time.Duration(0), garnettide.RequestID(0)
 	return inMS(cost(func() {
 		now += time.Second
 		if reports {
 			id++
-			b.Request(now, clayladder.Request{ID: id, Budget: time.Second, Class: className(0)})
-			b.Outcome(now, clayladder.Outcome{ID: id, Upstream: h.up, Latency: 10 * time.Millisecond,
-				Load: clayladder.Load{Fields: clayladder.HasUtil | clayladder.HasRequestRate, Util: 0.3, RequestRate: 10}})
+			b.Request(now, garnettide.Request{ID: id, Budget: time.Second, Class: className(0)})
+			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.up, Latency: 10 * time.Millisecond,
+				Load: garnettide.Load{Fields: garnettide.HasUtil | garnettide.HasRequestRate, Util: 0.3, RequestRate: 10}})
 		}
 		b.Timer(now, h.tick)
 	})), nil
@@ -365,8 +365,8 @@
 	entry, now := upstreamList(upstreams)[upstreams/2:upstreams/2+1], time.Duration(0)
 	return inMS(cost(func() {
 		now += time.Millisecond
-		entry[0].State = clayladder.Draining - entry[0].State // to and fro
-		b.Members(now, clayladder.ListDelta, entry)
+		entry[0].State = garnettide.Draining - entry[0].State // to and fro
+		b.Members(now, garnettide.ListDelta, entry)
 	})), nil
 }
 
@@ -379,7 +379,7 @@
 	all, now := upstreamList(upstreams), time.Duration(0)
 	return inMS(cost(func() {
 		now += time.Millisecond
-		b.Members(now, clayladder.ListFull, all)
+		b.Members(now, garnettide.ListFull, all)
 	})), nil
 }
 
@@ -429,15 +429,15 @@
 	if err != nil {
 		return 0, err
 	}
-	now, id, every := time.Duration(0), clayladder.RequestID(0), time.Second*Balancers/peak
+	now, id, every := time.Duration(0), garnettide.RequestID(0), time.Second*Balancers/peak
 	each := cost(func() {
 		id++
 		now += every / 2
-		b.Request(now, clayladder.Request{ID: id, Budget: time.Second, Class: className(0), Tenant: tenantName(0)})
+		b.Request(now, garnettide.Request{ID: id, Budget: time.Second, Class: className(0), Tenant: tenantName(0)})
 		now += every / 2
 		if h.id == id {
-			b.Outcome(now, clayladder.Outcome{ID: id, Upstream: h.up, Latency: every / 2, Load: clayladder.Load{
-				Fields: clayladder.HasUtil | clayladder.HasRequestRate, Util: 0.3 + float64(id%8)/100, RequestRate: 10}})
+			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.up, Latency: every / 2, Load: garnettide.Load{
+				Fields: garnettide.HasUtil | garnettide.HasRequestRate, Util: 0.3 + float64(id%8)/100, RequestRate: 10}})
 		}
 	})
 	if h.sent < int(id)*9/10 {
@@ -449,7 +449,7 @@
 func newCost(classes, tenants int) (float64, error) {
 	s, err := settingsOf(classes, tenants), error(nil)
 	each := cost(func() {
-		if _, e := clayladder.New(s, 1, 0, &host{}); e != nil {
+		if _, e := garnettide.New(s, 1, 0, &host{}); e != nil {
 			err = e
 		}
 	})
@@ -533,11 +533,11 @@
 		if err != nil {
 			return nil, err
 		}
-		b, err := clayladder.New(s, 1, 0, &host{})
+		b, err := garnettide.New(s, 1, 0, &host{})
 		if err != nil {
 			return nil, err
 		}
-		b.Members(0, clayladder.ListFull, upstreamList(upstreams))
+		b.Members(0, garnettide.ListFull, upstreamList(upstreams))
 		return b, nil
 	})
 }
@@ -547,21 +547,21 @@
 func noStep() {}
 
 // plans are two plans of a part of the fleet ahead, that differ in one class and one tenant.
-func plans(part int) (one, two *clayladder.Plan, err error) {
+func plans(part int) (one, two *garnettide.Plan, err error) {
 	s := settingsOf(Classes*part/16, Tenants*part/16)
-	if one, err = clayladder.NewPlan(s, noStep); err != nil {
+	if one, err = garnettide.NewPlan(s, noStep); err != nil {
 		return nil, nil, err
 	}
 	s.Classes[0].Worth++
 	s.Tenants[0].Quota++
-	two, err = clayladder.NewPlan(s, noStep)
+	two, err = garnettide.NewPlan(s, noStep)
 	return one, two, err
 }
 
 func planCost(part int) (float64, error) {
 	s, err := settingsOf(Classes*part/16, Tenants*part/16), error(nil)
 	each := cost(func() {
-		if _, e := clayladder.NewPlan(s, noStep); e != nil {
+		if _, e := garnettide.NewPlan(s, noStep); e != nil {
 			err = e
 		}
 	})
@@ -592,8 +592,8 @@
 		return nil, err
 	}
 	forth, back := two.Since(one, noStep), one.Since(two, noStep)
-	b := clayladder.NewWithPlan(one, 1, 0, &host{})
-	b.Members(0, clayladder.ListFull, upstreamList(Upstreams*part/16))
+	b := garnettide.NewWithPlan(one, 1, 0, &host{})
+	b.Members(0, garnettide.ListFull, upstreamList(Upstreams*part/16))
 	now := time.Duration(0)
 	return func() {
 		now += time.Millisecond
@@ -605,16 +605,16 @@
 // twoPlans is what is held while a new plan stands ready and the old one is in force.
 func twoPlans(part int) (float64, error) {
 	type pair struct {
-		b   *clayladder.Balancer
-		new *clayladder.Plan
+		b   *garnettide.Balancer
+		new *garnettide.Plan
 	}
 	return live(func() (any, error) {
 		one, two, err := plans(part)
 		if err != nil {
 			return nil, err
 		}
-		b := clayladder.NewWithPlan(one, 1, 0, &host{})
-		b.Members(0, clayladder.ListFull, upstreamList(Upstreams*part/16))
+		b := garnettide.NewWithPlan(one, 1, 0, &host{})
+		b.Members(0, garnettide.ListFull, upstreamList(Upstreams*part/16))
 		return pair{b, two}, nil
 	})
 }
@@ -639,18 +639,18 @@
 	long := 100 * (quotaWarm + lasts)
 	s.Balancers, s.OverQuotaWorth, s.PollDiscovery = balancers, 0, false
 	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = long, long
-	s.Tenants = []clayladder.Tenant{{Name: "t", Quota: quota}}
-	hosts, fleet := make([]host, used), make([]*clayladder.Balancer, used)
+	s.Tenants = []garnettide.Tenant{{Name: "t", Quota: quota}}
+	hosts, fleet := make([]host, used), make([]*garnettide.Balancer, used)
 	for i := range fleet {
 		var err error
 		s.Rank = i
-		if fleet[i], err = clayladder.New(s, uint64(i), 0, &hosts[i]); err != nil {
+		if fleet[i], err = garnettide.New(s, uint64(i), 0, &hosts[i]); err != nil {
 			return 0, err
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	asked, over, at := 0, 0, 0.0
-	for id := clayladder.RequestID(1); ; id++ {
+	for id := garnettide.RequestID(1); ; id++ {
 		at += rng.ExpFloat64() / (quota * quotaUse)
 		now := time.Duration(at * float64(time.Second))
 		if now > quotaWarm+lasts {
@@ -658,7 +658,7 @@
 		}
 		i := rng.IntN(used)
 		before := hosts[i].refused
-		fleet[i].Request(now, clayladder.Request{ID: id, Budget: long, Class: s.Classes[0].Name, Tenant: "t"})
+		fleet[i].Request(now, garnettide.Request{ID: id, Budget: long, Class: s.Classes[0].Name, Tenant: "t"})
 		if now > quotaWarm {
 			asked, over = asked+1, over+hosts[i].refused-before
 		}
--- a/internal/scale/inprocess_test.go
+++ b/internal/scale/inprocess_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/proxy"
+	"garnettide"
+	"garnettide/internal/proxy"
 )
 
 // Every measurement gives a figure, here at its smallest size and in short batches.
@@ -114,8 +114,8 @@
 			entry, now := upstreamList(n)[:1], time.Duration(0)
 			return func() {
 				now += time.Millisecond
-				entry[0].State = clayladder.Draining - entry[0].State
-				b.Members(now, clayladder.ListDelta, entry)
+				entry[0].State = garnettide.Draining - entry[0].State
+				b.Members(now, garnettide.ListDelta, entry)
 			}
 		}},
 		{"step", func(n int) func() {
@@ -132,7 +132,7 @@
 		{"New over classes", func(n int) func() {
 			s := settingsOf(n, 2)
 			return func() {
-				if _, err := clayladder.New(s, 1, 0, &host{}); err != nil {
+				if _, err := garnettide.New(s, 1, 0, &host{}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -140,7 +140,7 @@
 		{"New over tenants", func(n int) func() {
 			s := settingsOf(2, n)
 			return func() {
-				if _, err := clayladder.New(s, 1, 0, &host{}); err != nil {
+				if _, err := garnettide.New(s, 1, 0, &host{}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -175,8 +175,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Request(time.Minute, clayladder.Request{ID: 1, Budget: time.Second, Class: className(0)})
-		b.Outcome(time.Minute+time.Millisecond, clayladder.Outcome{ID: 1, Upstream: h.up, Latency: time.Millisecond})
+		b.Request(time.Minute, garnettide.Request{ID: 1, Budget: time.Second, Class: className(0)})
+		b.Outcome(time.Minute+time.Millisecond, garnettide.Outcome{ID: 1, Upstream: h.up, Latency: time.Millisecond})
 		if h.sent != 1 || h.refused != 0 {
 			t.Errorf("%d upstreams: sent %d times, refused %d times", n, h.sent, h.refused)
 		}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -152,7 +152,7 @@
 // BuildBalancer builds the balancer's program into dir and returns its path.
 func BuildBalancer(dir string) (string, error) {
 	program := filepath.Join(dir, "olivearch")
-	if out, err := exec.Command("go", "build", "-o", program, "clayladder/cmd/olivearch").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "garnettide/cmd/olivearch").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("building the balancer: %w: %s", err, out)
 	}
 	return program, nil
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 // Kind is the kind of an event.
@@ -37,12 +37,12 @@
 	Kind     Kind
 	Instance int
 	Seed     uint64
-	Settings clayladder.Settings
-	Mode     clayladder.ListMode
-	List     []clayladder.Upstream
-	Request  clayladder.Request
-	Outcome  clayladder.Outcome // also Established: ID, Upstream, Attempt, Latency
-	Probe    clayladder.ProbeResult
+	Settings garnettide.Settings
+	Mode     garnettide.ListMode
+	List     []garnettide.Upstream
+	Request  garnettide.Request
+	Outcome  garnettide.Outcome // also Established: ID, Upstream, Attempt, Latency
+	Probe    garnettide.ProbeResult
 	Token    uint64
 }
 
@@ -62,7 +62,7 @@
 	line  int
 	long  []byte
 	names map[string]string
-	lists [banks][]clayladder.Upstream
+	lists [banks][]garnettide.Upstream
 	known [banks]bool
 	parts fields
 }
@@ -156,12 +156,12 @@
 	case "endpoints":
 		e.Kind = Endpoints
 		e.Mode = f.mode("mode")
-		if e.Mode != clayladder.ListFailed {
+		if e.Mode != garnettide.ListFailed {
 			e.List = r.list()
 		}
 	case "inbound":
 		e.Kind = Inbound
-		e.Request = clayladder.Request{ID: clayladder.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
+		e.Request = garnettide.Request{ID: garnettide.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
 			Class: r.name(f.text("class", true)), Tenant: r.name(f.text("org", false)), Key: f.hex("key", false),
 			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false)}
 	case "established":
@@ -173,12 +173,12 @@
 		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
 	case "lapsed":
 		e.Kind = Lapsed
-		e.Request.ID = clayladder.RequestID(f.hex("id", true))
+		e.Request.ID = garnettide.RequestID(f.hex("id", true))
 	case "elapsed":
 		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
 	case "health":
 		e.Kind = Health
-		e.Probe = clayladder.ProbeResult{Upstream: clayladder.UpstreamID(f.uint("upstream", 32, true)),
+		e.Probe = garnettide.ProbeResult{Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
 			Latency: f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
 	case "inbox":
 		e.Kind = Inbox
@@ -204,7 +204,7 @@
 	if f.err != nil {
 		return fmt.Errorf("sheet: %w", f.err)
 	}
-	list := make([]clayladder.Upstream, 0, min(n, 1<<12))
+	list := make([]garnettide.Upstream, 0, min(n, 1<<12))
 	for range n {
 		line, err := r.next()
 		if err != nil {
@@ -217,7 +217,7 @@
 		if string(name) != "m" {
 			return fmt.Errorf("sheet: items=%d, but %d follow", n, len(list))
 		}
-		u := clayladder.Upstream{ID: clayladder.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
+		u := garnettide.Upstream{ID: garnettide.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
 			Zone: r.name(f.text("region_part", false)), Weight: f.real("nominal", 1),
 			StartedAt: f.span("came_up_us", false), State: f.state("availability")}
 		if f.err != nil {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func (r *Reader) list() []clayladder.Upstream {
+func (r *Reader) list() []garnettide.Upstream {
 	bank := r.parts.uint("bank", 31, true)
 	if bank >= banks || !r.known[bank] {
 		r.parts.fail("bank", "no such list")
@@ -400,57 +400,57 @@
 	return x
 }
 
-func (f *fields) outcome() clayladder.Outcome {
-	return clayladder.Outcome{ID: clayladder.RequestID(f.hex("id", true)), Upstream: clayladder.UpstreamID(f.uint("upstream", 32, true)),
+func (f *fields) outcome() garnettide.Outcome {
+	return garnettide.Outcome{ID: garnettide.RequestID(f.hex("id", true)), Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
 		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true)}
 }
 
-func (f *fields) mode(name string) clayladder.ListMode {
+func (f *fields) mode(name string) garnettide.ListMode {
 	switch string(f.text(name, true)) {
 	case "D":
-		return clayladder.ListDelta
+		return garnettide.ListDelta
 	case "F":
-		return clayladder.ListFull
+		return garnettide.ListFull
 	case "C":
-		return clayladder.ListCached
+		return garnettide.ListCached
 	case "X":
-		return clayladder.ListFailed
+		return garnettide.ListFailed
 	}
 	f.fail(name, "unknown list mode")
 	return 0
 }
 
-func (f *fields) state(name string) clayladder.State {
+func (f *fields) state(name string) garnettide.State {
 	switch string(f.text(name, true)) {
 	case "active":
-		return clayladder.Active
+		return garnettide.Active
 	case "leaving":
-		return clayladder.Draining
+		return garnettide.Draining
 	case "left":
-		return clayladder.Removed
+		return garnettide.Removed
 	}
 	f.fail(name, "unknown state")
 	return 0
 }
 
-func (f *fields) status(name string) clayladder.Status {
+func (f *fields) status(name string) garnettide.Status {
 	switch x := f.uint(name, 31, true); x {
 	case 0:
-		return clayladder.OK
+		return garnettide.OK
 	case 255:
-		return clayladder.Error
+		return garnettide.Error
 	case 254:
-		return clayladder.Rejected
+		return garnettide.Rejected
 	case 253:
-		return clayladder.Timeout
+		return garnettide.Timeout
 	case 252:
-		return clayladder.ConnectFailed
+		return garnettide.ConnectFailed
 	case 251:
-		return clayladder.Reset
+		return garnettide.Reset
 	case 250:
-		return clayladder.Cancelled
+		return garnettide.Cancelled
 	case 249:
-		return clayladder.NotSent
+		return garnettide.NotSent
 	default:
 		f.fail(name, fmt.Sprintf("unknown status %d", x))
 		return 0
@@ -458,8 +458,8 @@
 }
 
 // load reads a report: name:value pairs. Values of other names are passed over.
-func (f *fields) load(name string) clayladder.Load {
-	var l clayladder.Load
+func (f *fields) load(name string) garnettide.Load {
+	var l garnettide.Load
 	rest := f.text(name, false)
 	for len(rest) > 0 {
 		var part []byte
@@ -477,19 +477,19 @@
 
 // SetLoad puts one value of a load report into l, by its name in the settings or the short one that upstreams use.
 // Values of other names are passed over.
-func SetLoad(l *clayladder.Load, name string, x float64) {
+func SetLoad(l *garnettide.Load, name string, x float64) {
 	switch name {
 	case "load_share", "util":
-		l.Util, l.Fields = x, l.Fields|clayladder.HasUtil
+		l.Util, l.Fields = x, l.Fields|garnettide.HasUtil
 	case "concurrent", "inflight":
-		l.Inflight, l.Fields = x, l.Fields|clayladder.HasInflight
+		l.Inflight, l.Fields = x, l.Fields|garnettide.HasInflight
 	case "depth", "queue":
-		l.Queue, l.Fields = x, l.Fields|clayladder.HasQueue
+		l.Queue, l.Fields = x, l.Fields|garnettide.HasQueue
 	case "mean_ms", "latency_ms":
-		l.ServiceTime, l.Fields = x, l.Fields|clayladder.HasServiceTime
+		l.ServiceTime, l.Fields = x, l.Fields|garnettide.HasServiceTime
 	case "tps", "qps":
-		l.RequestRate, l.Fields = x, l.Fields|clayladder.HasRequestRate
+		l.RequestRate, l.Fields = x, l.Fields|garnettide.HasRequestRate
 	case "err_ps", "eps":
-		l.ErrorRate, l.Fields = x, l.Fields|clayladder.HasErrorRate
+		l.ErrorRate, l.Fields = x, l.Fields|garnettide.HasErrorRate
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 // params mirrors the settings that the module uses, but for the lists; other keys are ignored.
@@ -56,20 +56,20 @@
 }
 
 var (
-	repeats = map[string]clayladder.Idempotency{"read_like": clayladder.Idempotent, "idempotency_key": clayladder.IdempotentByKey,
-		"non_idempotent": clayladder.NonIdempotent}
-	groups = map[string]clayladder.DedupScope{"all": clayladder.DedupAll, "zone": clayladder.DedupZone, "cell": clayladder.DedupCell}
-	weigh  = map[string]clayladder.WeightKind{"silent": clayladder.WeightNone, "nominal": clayladder.WeightNominal,
-		"rough": clayladder.WeightApproximate, "live": clayladder.WeightLoadAdjusted}
-	vias = map[string]clayladder.ReportMode{"silent": clayladder.ReportNone, "piggyback": clayladder.ReportInResponses,
-		"pull": clayladder.ReportInProbes}
+	repeats = map[string]garnettide.Idempotency{"read_like": garnettide.Idempotent, "idempotency_key": garnettide.IdempotentByKey,
+		"non_idempotent": garnettide.NonIdempotent}
+	groups = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone, "cell": garnettide.DedupCell}
+	weigh  = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
+		"rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
+	vias = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone, "piggyback": garnettide.ReportInResponses,
+		"pull": garnettide.ReportInProbes}
 	asks = map[string]bool{"pushed": false, "on_request": true}
 )
 
 func us(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
 
 // settings reads the JSON of a start message.
-func (f *fields) settings(name string) clayladder.Settings {
+func (f *fields) settings(name string) garnettide.Settings {
 	s, _, err := DecodeSettings(f.text(name, true))
 	if err != nil {
 		f.fail(name, err.Error())
@@ -85,13 +85,13 @@
 }
 
 // DecodeSettings reads the settings object of a start message.
-func DecodeSettings(text []byte) (clayladder.Settings, Links, error) {
-	var classes []clayladder.Class
-	var tenants []clayladder.Tenant
+func DecodeSettings(text []byte) (garnettide.Settings, Links, error) {
+	var classes []garnettide.Class
+	var tenants []garnettide.Tenant
 	d := NewDecoder(bytes.NewReader(text), func() {})
 	s, links, err := d.Settings(
-		func(c clayladder.Class) error { classes = append(classes, c); return nil },
-		func(t clayladder.Tenant) error { tenants = append(tenants, t); return nil })
+		func(c garnettide.Class) error { classes = append(classes, c); return nil },
+		func(t garnettide.Tenant) error { tenants = append(tenants, t); return nil })
 	if err != nil {
 		return s, links, err
 	}
@@ -104,7 +104,7 @@
 
 // Settings reads the settings object of a start message or of a real balancer's configuration, but for the classes and
 // tenants: it hands these over as they come. An error names the setting.
-func (d *Decoder) Settings(class func(clayladder.Class) error, tenant func(clayladder.Tenant) error) (s clayladder.Settings,
+func (d *Decoder) Settings(class func(garnettide.Class) error, tenant func(garnettide.Tenant) error) (s garnettide.Settings,
 	links Links, err error) {
 	var p params
 	seen := map[string]bool{}
@@ -129,9 +129,9 @@
 	}
 	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = p.Zone, p.Balancers, p.Rank, p.OverShare
 	s.WorthByWork, s.Granularity = p.WorthBy == "work", us(p.Granularity)
-	s.Limits = clayladder.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
+	s.Limits = garnettide.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
 		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
-	s.Requirements = clayladder.Requirements{MaxDiscoveryInterval: us(p.Requirements.MaxDiscoveryInterval), ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: us(p.Requirements.WarmupTime),
+	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: us(p.Requirements.MaxDiscoveryInterval), ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: us(p.Requirements.WarmupTime),
 		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: us(p.Requirements.OverloadWindow), DrainGrace: us(p.Requirements.DrainGrace),
 		AnswerSlack: us(p.Requirements.Slack)}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
@@ -149,25 +149,25 @@
 }
 
 // class reads an entry of the list of classes.
-func (d *Decoder) class(add func(clayladder.Class) error) error {
+func (d *Decoder) class(add func(garnettide.Class) error) error {
 	var p profile
 	if err := d.Decode(&p); err != nil {
 		return fmt.Errorf("%q: %w", p.Name, whole(err))
 	}
-	c := clayladder.Class{Name: p.Name, LatencyTarget: us(p.Target), Deadline: us(p.GiveUp), DedupWindow: us(p.DedupWindow), Worth: p.Worth,
+	c := garnettide.Class{Name: p.Name, LatencyTarget: us(p.Target), Deadline: us(p.GiveUp), DedupWindow: us(p.DedupWindow), Worth: p.Worth,
 		LateWorth: p.LateWorth}
 	var ok bool
 	if c.Idempotency, ok = repeats[p.Idempotency]; !ok {
 		return fmt.Errorf("%q: repeat %q is unknown", p.Name, p.Idempotency)
 	}
-	if c.DedupScope, ok = groups[p.DedupScope]; !ok && c.Idempotency == clayladder.IdempotentByKey {
+	if c.DedupScope, ok = groups[p.DedupScope]; !ok && c.Idempotency == garnettide.IdempotentByKey {
 		return fmt.Errorf("%q: group %q is unknown", p.Name, p.DedupScope)
 	}
 	return add(c)
 }
 
 // tenant reads an entry of the list of tenants.
-func (d *Decoder) tenant(add func(clayladder.Tenant) error) error {
+func (d *Decoder) tenant(add func(garnettide.Tenant) error) error {
 	var t struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_rps"`
@@ -175,5 +175,5 @@
 	if err := d.Decode(&t); err != nil {
 		return fmt.Errorf("%q: %w", t.Name, whole(err))
 	}
-	return add(clayladder.Tenant{Name: t.Name, Quota: t.Quota})
+	return add(garnettide.Tenant{Name: t.Name, Quota: t.Quota})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 const startText = `{"az":"z1","balancers":2,"granularity_us":5000,"membership_mode":"pushed","weights":"nominal",` +
@@ -76,15 +76,15 @@
 	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
 		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
 	}
-	q := clayladder.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
+	q := garnettide.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
 	if b.Events[2].Request != q {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
 	o := b.Events[3].Outcome
-	if o.Attempt != 1 || o.Status != clayladder.Rejected || o.RequestDone || o.Load.Util != 0.62 || o.Load.Fields != clayladder.HasUtil|clayladder.HasErrorRate {
+	if o.Attempt != 1 || o.Status != garnettide.Rejected || o.RequestDone || o.Load.Util != 0.62 || o.Load.Fields != garnettide.HasUtil|garnettide.HasErrorRate {
 		t.Errorf("outcome %+v", o)
 	}
-	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != clayladder.NonIdempotent || s.Requirements.OverloadFactor != 3 {
+	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != garnettide.NonIdempotent || s.Requirements.OverloadFactor != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 // Writer gathers the actions of one reply.
@@ -40,7 +40,7 @@
 	return &Port{w: w, inst: " balancer_id=" + strconv.Itoa(instance)}
 }
 
-var _ clayladder.Host = (*Port)(nil)
+var _ garnettide.Host = (*Port)(nil)
 
 func (p *Port) open(name string) {
 	p.w.buf = append(p.w.buf, name...)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (p *Port) id(id clayladder.RequestID) {
+func (p *Port) id(id garnettide.RequestID) {
 	var raw [8]byte
 	for i := range raw {
 		raw[i] = byte(id >> (56 - 8*i))
@@ -77,7 +77,7 @@
 }
 
 // Send writes an attempt. It is sent at once there, so no window is over by then.
-func (p *Port) Send(id clayladder.RequestID, up clayladder.UpstreamID, timeout, _ time.Duration) {
+func (p *Port) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, _ time.Duration) {
 	p.open("submit_to")
 	p.id(id)
 	p.num(" upstream=", uint64(up))
@@ -86,7 +86,7 @@
 }
 
 // Refuse writes a refusal.
-func (p *Port) Refuse(id clayladder.RequestID, retryAfter time.Duration) {
+func (p *Port) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
 	p.open("bounce")
 	p.id(id)
 	p.span(" hold_off_us=", retryAfter)
@@ -94,14 +94,14 @@
 }
 
 // Fail writes a failure.
-func (p *Port) Fail(id clayladder.RequestID) {
+func (p *Port) Fail(id garnettide.RequestID) {
 	p.open("report_failure")
 	p.id(id)
 	p.end()
 }
 
 // Cancel writes the end of waiting for an attempt.
-func (p *Port) Cancel(id clayladder.RequestID, attempt int) {
+func (p *Port) Cancel(id garnettide.RequestID, attempt int) {
 	p.open("withdraw")
 	p.id(id)
 	p.num(" go=", uint64(attempt))
@@ -109,14 +109,14 @@
 }
 
 // Probe writes a probe.
-func (p *Port) Probe(up clayladder.UpstreamID) {
+func (p *Port) Probe(up garnettide.UpstreamID) {
 	p.open("ping")
 	p.num(" upstream=", uint64(up))
 	p.end()
 }
 
 // Disconnect writes the closing of idle connections.
-func (p *Port) Disconnect(up clayladder.UpstreamID) {
+func (p *Port) Disconnect(up garnettide.UpstreamID) {
 	p.open("disconnect")
 	p.num(" upstream=", uint64(up))
 	p.end()
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -1,4 +1,4 @@
-package clayladder
+package garnettide
 
 import (
 	"fmt"
--- a/settings.go
+++ b/settings.go
@@ -1,4 +1,4 @@
-package clayladder
+package garnettide
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 
 // bad reports a setting that is missing or out of range.
 func invalidSetting(format string, args ...any) error {
-	return fmt.Errorf("clayladder: %w: %s", ErrInvalidSettings, fmt.Sprintf(format, args...))
+	return fmt.Errorf("garnettide: %w: %s", ErrInvalidSettings, fmt.Sprintf(format, args...))
 }
 
 // amount tells whether x is a finite figure that is not negative.
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,6 +1,6 @@
 // Slow start: what a cold upstream may get.
 
-package clayladder
+package garnettide
 
 import "time"
 
--- a/subset.go
+++ b/subset.go
@@ -1,6 +1,6 @@
 // The subset of the upstreams that a balancer uses.
 
-package clayladder
+package garnettide
 
 import (
 	"cmp"
