--- a/api.go
+++ b/api.go
@@ -1,126 +1,127 @@
-// Package garnettide makes the decisions of a load-balancing proxy for fleets of HTTP servers: which upstream gets a
-// request, whether it is sent again, held, refused or failed, and how the upstream list is followed. It does no I/O.
+// Package garnettide makes the routing decisions of an HTTP load balancer: which upstream receives a request, whether a
+// request is retried, queued, refused or failed, and how the list of upstreams is kept up to date. It does no I/O.
 //
 // # Contract
 //
-// One Balancer is one proxy instance. Its owner calls a method per event, from one goroutine at a time, with now on
-// any monotonic origin and never going back. The Balancer answers by calling its Host during that call, never outside
-// it. It reads no clock, starts no goroutine and shares no state with other Balancers; the same events with the same
-// seed give the same actions.
+// A Balancer serves one proxy instance. Its owner calls one method for each event, from one goroutine at a time. The
+// argument now is a time since a fixed origin on a monotonic clock, and never decreases. The Balancer acts by calling
+// its Host, only during such a call. It reads no clock, starts no goroutine and shares no state with other Balancers.
+// The same events with the same seed produce the same actions.
 //
-// Events arrive in order: a request's Request first, then one Outcome for each Send, at most one Gone. An Outcome may
-// follow the request's final answer. Ids that are not held are passed over. Memory is bounded by what the owner has
-// open (requests, attempts and listed upstreams) and by the classes and tenants of the settings.
+// A request begins with Request, followed by one Outcome for each Send and at most one ClientGone. An Outcome may
+// follow the final answer of its request. Events with unknown ids are ignored. Memory is bounded by the number of open
+// requests, attempts and listed upstreams, and by the classes and tenants of the settings.
 //
-// Settings change while it runs: NewPlan checks them on any goroutine, and Reconfigure puts the plan in force. A request
-// that has been taken ends by the terms under which it was read. A class or tenant that is gone takes nothing new.
+// Settings can change at run time: NewPlan checks them on any goroutine, and Reconfigure applies the plan. A request
+// that has been accepted keeps the class settings it was read with. New requests of a removed class or tenant are
+// refused.
 //
-// Every request gets exactly one final answer: a successful Outcome, Refuse or Fail. Refuse promises the client that
-// another try is harmless.
+// Each request gets exactly one final answer: a successful Outcome, Refuse or Fail. Refuse tells the client that it may
+// safely retry.
 package garnettide
 
 import "time"
 
-// RequestID names one try of a client's request; ids are never reused.
+// RequestID identifies one try of a client's request. Ids are never reused.
 type RequestID uint64
 
-// UpstreamID names an upstream. It carries no meaning and survives restarts.
+// UpstreamID identifies an upstream. It stays the same when the upstream restarts.
 type UpstreamID uint32
 
-// Repeat says whether a class may run more than once, safest first.
+// Idempotency tells whether requests of a class may be executed more than once. Smaller values permit more.
 type Idempotency uint8
 
 const (
-	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // a group of upstreams drops repeats for Class.Memory
-	NonIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // may be executed any number of times
+	IdempotentByKey                    // upstreams in Class.DedupScope drop duplicates for Class.DedupWindow
+	NonIdempotent                      // must not be executed twice
 )
 
-// Group says which upstreams drop a keyed request's repeats.
+// DedupScope is the set of upstreams that drop duplicates of an IdempotentByKey request among themselves.
 type DedupScope uint8
 
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupAll  DedupScope = iota // all upstreams
+	DedupZone                   // upstreams of the same zone
+	DedupCell                   // upstreams of the same cell
 )
 
-// Class is one kind of request.
+// Class describes one kind of request.
 type Class struct {
 	Name          string
-	LatencyTarget time.Duration // answers within it earn full worth
-	Deadline      time.Duration // the client's total wait
+	LatencyTarget time.Duration // answers within this time earn the full Worth
+	Deadline      time.Duration // total time that the client waits, over all its tries
 	Idempotency   Idempotency
-	DedupScope    DedupScope    // for Keyed
-	DedupWindow   time.Duration // for Keyed: how long repeats are dropped
-	Worth         float64
-	LateWorth     float64 // fraction of Worth between Aim and Deadline
+	DedupScope    DedupScope    // for IdempotentByKey
+	DedupWindow   time.Duration // for IdempotentByKey: how long duplicates are dropped
+	Worth         float64       // relative value of an answer
+	LateWorth     float64       // fraction of Worth earned between LatencyTarget and Deadline
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer with a request quota.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all balancers
+	Quota float64 // requests per second, over all balancers
 }
 
-// Limits is what the site permits.
+// Limits tells which actions are permitted, and how often.
 type Limits struct {
-	Cancel        bool
-	Probes        bool
-	Hedging       bool
-	RetryAfter    bool
-	MaxRetryAfter time.Duration // longest wait a client honours
-	MaxAttempts   int
+	Cancel        bool          // attempts may be cancelled
+	Probes        bool          // upstreams may be probed
+	Hedging       bool          // a request may have several attempts in flight
+	RetryAfter    bool          // refusals may carry a Retry-After time
+	MaxRetryAfter time.Duration // longest Retry-After time that clients honour
+	MaxAttempts   int           // attempts per request
 }
 
-// Rules holds the figures of the drain and cold-start rules.
+// Requirements holds the required behaviour towards discovery, cold and draining upstreams, and clients.
 type Requirements struct {
-	MaxDiscoveryInterval time.Duration // discovery on request: ask at least this often
-	ColdCapacity         float64       // an upstream starts at this share of capacity or more
-	WarmupTime           time.Duration // and is warm no later than this
-	OverloadFactor       float64       // sent more than this multiple of present capacity
-	OverloadWindow       time.Duration // for this long, a cold upstream falls over
-	DrainGrace           time.Duration // sends to a draining upstream must cease within this
-	AnswerSlack          time.Duration // slack of a final answer after the client's deadline
+	MaxDiscoveryInterval time.Duration // with PollDiscovery: longest time between calls of discovery
+	ColdCapacity         float64       // capacity of an upstream at its start, as a fraction of its full capacity
+	WarmupTime           time.Duration // time after its start at which an upstream has full capacity
+	OverloadFactor       float64       // load, as a multiple of current capacity, that overloads a cold upstream
+	OverloadWindow       time.Duration // time for which it has to be exceeded
+	DrainGrace           time.Duration // time within which sends to a draining upstream must stop
+	AnswerSlack          time.Duration // how long after the client's deadline a final answer may come
 }
 
-// WeightKind says what Upstream.Weight means.
+// WeightKind tells how to interpret Upstream.Weight.
 type WeightKind uint8
 
 const (
-	WeightNone         WeightKind = iota // always one
+	WeightNone         WeightKind = iota // always 1
 	WeightNominal                        // size
-	WeightApproximate                    // size, approximately
-	WeightLoadAdjusted                   // size lowered by load some time ago
+	WeightApproximate                    // approximate size
+	WeightLoadAdjusted                   // size, reduced by a delayed measure of load
 )
 
-// ReportVia says how load reports arrive.
+// ReportMode tells which messages carry load reports.
 type ReportMode uint8
 
 const (
 	ReportNone        ReportMode = iota
-	ReportInResponses            // within outcomes and probe results
-	ReportInProbes               // within probe results only
+	ReportInResponses            // outcomes and probe results
+	ReportInProbes               // probe results only
 )
 
-// Settings is what a Balancer is told at its start, and again whenever they change.
+// Settings configures a Balancer.
 type Settings struct {
 	Zone           string
-	Balancers      int // instances in this tier
-	Rank           int // of this instance among them, from 0
+	Balancers      int // number of balancer instances
+	Rank           int // index of this instance, from 0
 	Classes        []Class
 	Tenants        []Tenant
-	OverQuotaWorth float64 // worth of traffic over a tenant's quota
-	WorthByWork    bool    // worth counts per unit of work, not per request
+	OverQuotaWorth float64 // factor on the worth of requests over their tenant's quota
+	WorthByWork    bool    // Worth applies per unit of work instead of per request
 	Limits         Limits
 	Requirements   Requirements
-	PollDiscovery  bool // discovery answers only when asked
+	PollDiscovery  bool // discovery answers calls only, and pushes nothing
 	Weights        WeightKind
 	Reports        ReportMode
-	Granularity    time.Duration // least spacing of event batches
+	Granularity    time.Duration // minimum interval between batches of events
 }
 
-// State is what discovery says of an upstream.
+// State is the state of an upstream according to discovery.
 type State uint8
 
 const (
@@ -134,56 +135,56 @@
 	ID        UpstreamID
 	Zone      string
 	Cell      int
-	Weight    float64
-	StartedAt time.Duration // latest start on the owner's clock; 0: long past
+	Weight    float64       // see WeightKind
+	StartedAt time.Duration // latest start, on the owner's clock; 0: long ago
 	State     State
 }
 
-// ListMode says how a list relates to the one held.
+// ListMode tells how a list relates to the current one.
 type ListMode uint8
 
 // The list modes.
 const (
 	ListDelta  ListMode = iota // changed entries only
-	ListFull                   // the whole list; what it lacks is gone
-	ListCached                 // the whole list as last held, maybe stale
-	ListFailed                 // the call failed or the watch dropped; no entries
-	ListStale                  // a watch has fallen silent or discovery has moved: what is missed soon counts as told; no entries
+	ListFull                   // the whole list: upstreams that it lacks are removed
+	ListCached                 // the whole list from a cache, possibly out of date
+	ListFailed                 // no entries: the call failed or the watch ended
+	ListStale                  // no entries: the watch went silent or discovery moved, so changes may have been missed
 )
 
-// Request is a client's request.
+// Request is one try of a client's request.
 type Request struct {
 	ID            RequestID
-	Budget        time.Duration // the client gives up this try after it
+	Budget        time.Duration // time after which the client abandons this try
 	Class         string        // a name from Settings.Classes
-	ClassSettings *Class        // the class as the plan had it by which it was read; nil: as it is in force
-	Tenant        string        // a name from Settings.Tenants, or empty; where there are none, any
-	Key           uint64        // subject of the request, if HasKey
+	ClassSettings *Class        // the class when the request was read; nil: the current one
+	Tenant        string        // a name from Settings.Tenants, or empty; any name if there are no tenants
+	Key           uint64        // key of the request's subject, if HasKey
 	HasKey        bool
-	Retry         bool
-	Cost          time.Duration // hint: work on a standard core; 0: unknown
-	Streaming     bool          // its body still comes and passes to one upstream; Budget counts from Whole
+	Retry         bool          // the client has tried before
+	Cost          time.Duration // hint: CPU time on a standard core; 0: unknown
+	Streaming     bool          // the body is still arriving and is sent to one upstream; Budget starts at BodyComplete
 }
 
-// Status is how an attempt or probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint8
 
-// The statuses. Those marked * prove that the request never ran.
+// The statuses. Those marked * prove that the request was not executed.
 const (
 	OK            Status = iota
 	Error                // the upstream answered with an error
-	Rejected             // * turned away unseen
+	Rejected             // * the upstream refused the request without executing it
 	Timeout              // no answer in time
 	ConnectFailed        // * no connection in time
 	Reset                // connection lost
-	Cancelled            // stopped by Cancel
-	NotSent              // * never sent
+	Cancelled            // ended by Host.Cancel
+	NotSent              // * not sent
 )
 
-// NeverRan tells whether s proves that the request never ran.
+// NeverRan reports whether s proves that the request was not executed.
 func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
-// LoadField is a bit for each value that a Load holds.
+// LoadField is a set of bits, one for each value of a Load.
 type LoadField uint8
 
 const (
@@ -195,30 +196,30 @@
 	HasErrorRate
 )
 
-// Load is an upstream's load report; Fields tells which values it holds.
+// Load is a load report of an upstream. Fields tells which values are set.
 type Load struct {
 	Fields      LoadField
-	Util        float64 // share of CPU busy
-	Inflight    float64 // requests held
+	Util        float64 // CPU utilisation, 0 to 1
+	Inflight    float64 // requests in flight
 	Queue       float64 // requests waiting
-	ServiceTime float64 // recent service time, ms
-	RequestRate float64 // requests served a second
-	ErrorRate   float64 // errors a second
+	ServiceTime float64 // recent mean service time in milliseconds
+	RequestRate float64 // requests served per second
+	ErrorRate   float64 // errors per second
 }
 
-// Outcome is the end of one attempt.
+// Outcome is the result of one attempt.
 type Outcome struct {
 	ID           RequestID
 	Upstream     UpstreamID
-	Attempt      int // order of the request's Sends, from 0
+	Attempt      int // index of the attempt among the request's Sends, from 0
 	Latency      time.Duration
 	Status       Status
-	RequestDone  bool // the request is finished, now or earlier
-	BodyConsumed bool // what was sent of an open request can't be sent again
+	RequestDone  bool // the request needs no further attempts
+	BodyConsumed bool // part of a streaming body is gone, so the request cannot be sent again
 	Load         Load
 }
 
-// ProbeResult is the end of one probe.
+// ProbeResult is the result of one probe.
 type ProbeResult struct {
 	Upstream UpstreamID
 	Latency  time.Duration
@@ -226,34 +227,54 @@
 	Load     Load
 }
 
-// Host carries out a Balancer's actions.
+// Host carries out the actions of a Balancer.
 type Host interface {
-	// Send makes an attempt; timeout 0: until the client quits. Beside another one that may run it is written within window
-	// of that one's Send or not at all, and so is that one beside this, if it is still to be written; up to 0: no bound.
+	// Send starts an attempt, which ends with a Timeout after timeout; 0 sets no limit other than the client's.
+	// While several attempts of a request may be executed, each is written to its upstream within window of the
+	// others' Sends or not at all. A window of 0 or less sets no limit.
 	Send(id RequestID, up UpstreamID, timeout, window time.Duration)
-	Refuse(id RequestID, retryAfter time.Duration) // retryAfter 0: no advice
+	// Refuse answers that the request was not served and may safely be retried; retryAfter 0 gives no time for that.
+	Refuse(id RequestID, retryAfter time.Duration)
+	// Fail answers that the request failed and may have been executed.
 	Fail(id RequestID)
+	// Cancel ends an attempt, given by its index among the request's Sends.
 	Cancel(id RequestID, attempt int)
+	// Probe requests the state of an upstream; Events.Probed takes the result.
 	Probe(up UpstreamID)
-	Disconnect(up UpstreamID) // close idle connections
-	Watch(on bool)            // subscribe to discovery
-	Fetch()                   // ask discovery for the whole list once
+	// Disconnect closes idle connections to an upstream.
+	Disconnect(up UpstreamID)
+	// Watch subscribes to discovery or ends the subscription.
+	Watch(on bool)
+	// Fetch requests the whole list from discovery once.
+	Fetch()
+	// SetTimer calls Events.Timer with token after a delay.
 	SetTimer(after time.Duration, token uint64)
+	// Log writes a line of text to the log.
 	Log(text string)
 }
 
-// Events is the set of methods by which an owner drives a Balancer.
+// Events is the set of methods by which the owner passes events to a Balancer.
 type Events interface {
+	// Members applies a list from discovery, or notes that it failed.
 	Members(now time.Duration, mode ListMode, list []Upstream)
+	// Request accepts a client's request.
 	Request(now time.Duration, r Request)
-	BodyComplete(now time.Duration, id RequestID) // the last byte of an open request has come
-	ResponseStarted(now time.Duration, o Outcome) // an answer has begun that passes on as it comes; its Outcome follows
+	// BodyComplete notes that the body of a streaming request has arrived.
+	BodyComplete(now time.Duration, id RequestID)
+	// ResponseStarted notes that a streamed answer has begun; the attempt's Outcome follows when it ends.
+	ResponseStarted(now time.Duration, o Outcome)
+	// Outcome takes the result of an attempt.
 	Outcome(now time.Duration, o Outcome)
-	ClientGone(now time.Duration, id RequestID) // the client left, nothing more is owed
+	// ClientGone drops a request whose client has disconnected; no answer is needed.
+	ClientGone(now time.Duration, id RequestID)
+	// Probed takes the result of a probe.
 	Probed(now time.Duration, p ProbeResult)
+	// Timer takes the expiry of a timer set by Host.SetTimer.
 	Timer(now time.Duration, token uint64)
-	SetMaintenance(now time.Duration, id UpstreamID, out bool) // operators leave an upstream out, or use it again
-	Reconfigure(now time.Duration, p *Plan, c PlanDiff)        // p is in force from now on, and c what it changes
+	// SetMaintenance takes an upstream out of service for maintenance, or back in service.
+	SetMaintenance(now time.Duration, id UpstreamID, out bool)
+	// Reconfigure applies a plan; c is its difference from the current one.
+	Reconfigure(now time.Duration, p *Plan, c PlanDiff)
 }
 
 var _ Events = (*Balancer)(nil)
--- a/balancer.go
+++ b/balancer.go
@@ -43,7 +43,7 @@
 	lostAfter             = 2           // answers to later attempts after which one that is overdue is lost
 	lostDoubt             = 2.0         // patience that is added while what is overdue is answered after all
 	tipMargin             = 0.6         // part of the cold budget that is used
-	coldUse               = 0.9         // and its use at most: half of that at once, and all in TipAfter
+	coldUse               = 0.9         // and its use at most: half of that at once, and all in OverloadWindow
 	sendSpare             = 2.33        // latencies to the aim left to the cheapest class, less its late worth
 	quotaChance           = 2.0         // deviations of a second's requests by chance that a quota lets pass
 	budgetNoise           = 16          // a budget that differs by one in this many is a client's later try
@@ -75,7 +75,7 @@
 	return NewWithPlan(p, seed, now, host), nil
 }
 
-// NewWith returns a Balancer that goes by a plan, which others may share.
+// NewWithPlan returns a Balancer that goes by a plan, which others may share.
 func NewWithPlan(p *Plan, seed uint64, now time.Duration, host Host) *Balancer {
 	b := &Balancer{host: host, rng: rand.New(rand.NewPCG(seed, 0)), classes: map[string]*classStatistics{},
 		tenants: map[string]*tenant{}, requests: map[RequestID]*request{},
@@ -227,14 +227,14 @@
 	}
 }
 
-// Gone drops a request whose client has left.
+// ClientGone drops a request whose client has left.
 func (b *Balancer) ClientGone(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.done {
 		b.finish(r)
 	}
 }
 
-// Whole begins the time of an open request, and that of the attempt that its body went to.
+// BodyComplete begins the time of an open request, and that of the attempt that its body went to.
 func (b *Balancer) BodyComplete(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.coming {
 		r.coming, r.deadline = false, now+r.Budget
@@ -244,7 +244,8 @@
 	}
 }
 
-// Started takes an answer that has begun: all that it tells of its upstream is known, and its client has it.
+// ResponseStarted takes an answer that has begun: all that it tells of its upstream is known, and its client
+// has it.
 func (b *Balancer) ResponseStarted(now time.Duration, o Outcome) {
 	if r := b.requests[o.ID]; r != nil && !r.done && o.Attempt >= 0 && o.Attempt < len(r.attempts) {
 		a := r.attempts[o.Attempt]
@@ -386,8 +387,9 @@
 
 // --- Maintenance ---
 
-// Maintain leaves an upstream out until it is called back, whatever lists say of it. Back from work on it, it
-// is cold from now on, as far as anyone told, and its turn comes at once: what it once was tells nothing.
+// SetMaintenance leaves an upstream out until it is called back, whatever lists say of it. Back from work on
+// it, it is cold from now on, as far as anyone told, and its turn comes at once: what it once was tells
+// nothing.
 func (b *Balancer) SetMaintenance(now time.Duration, id UpstreamID, out bool) {
 	if b.off[id] == out {
 		return
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -414,24 +414,24 @@
 		"Classes":                               func(s *Settings) { s.Classes = nil },
 		"Balancers":                             func(s *Settings) { s.Balancers = 0 },
 		"Limits.MaxAttempts":                    func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"Rules.TipAfter":                        func(s *Settings) { s.Requirements.OverloadWindow = 0 },
-		"Rules.RampTime":                        func(s *Settings) { s.Requirements.WarmupTime = 0 },
-		"Rules.TipMultiple":                     func(s *Settings) { s.Requirements.OverloadFactor = 0 },
-		"Rules.ColdFrom":                        func(s *Settings) { s.Requirements.ColdCapacity = 0 },
-		"Rules.AskWithin":                       func(s *Settings) { s.PollDiscovery, s.Requirements.MaxDiscoveryInterval = true, 0 },
-		"Aim":                                   func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
+		"Requirements.OverloadWindow":           func(s *Settings) { s.Requirements.OverloadWindow = 0 },
+		"Requirements.WarmupTime":               func(s *Settings) { s.Requirements.WarmupTime = 0 },
+		"Requirements.OverloadFactor":           func(s *Settings) { s.Requirements.OverloadFactor = 0 },
+		"Requirements.ColdCapacity":             func(s *Settings) { s.Requirements.ColdCapacity = 0 },
+		"Requirements.MaxDiscoveryInterval":     func(s *Settings) { s.PollDiscovery, s.Requirements.MaxDiscoveryInterval = true, 0 },
+		"LatencyTarget":                         func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
 		"Deadline":                              func(s *Settings) { s.Classes[0].Deadline = ms },
-		"Memory":                                func(s *Settings) { s.Classes[1].DedupWindow = 0 },
+		"DedupWindow":                           func(s *Settings) { s.Classes[1].DedupWindow = 0 },
 		"\"read\" is set twice":                 func(s *Settings) { s.Classes = append(s.Classes, s.Classes[0]) },
 		"Worth":                                 func(s *Settings) { s.Classes[2].Worth = -1 },
 		"Quota":                                 func(s *Settings) { s.Tenants[1].Quota = -1 },
 		"Rank":                                  func(s *Settings) { s.Rank = s.Balancers },
-		"OverShareWorth":                        func(s *Settings) { s.OverQuotaWorth = math.NaN() },
+		"OverQuotaWorth":                        func(s *Settings) { s.OverQuotaWorth = math.NaN() },
 		"Granularity":                           func(s *Settings) { s.Granularity = -1 },
 		"Weights":                               func(s *Settings) { s.Weights = 9 },
 		"Reports":                               func(s *Settings) { s.Reports = 9 },
-		"Repeat":                                func(s *Settings) { s.Classes[0].Idempotency = 9 },
-		"Group":                                 func(s *Settings) { s.Classes[1].DedupScope = 9 },
+		"Idempotency":                           func(s *Settings) { s.Classes[0].Idempotency = 9 },
+		"DedupScope":                            func(s *Settings) { s.Classes[1].DedupScope = 9 },
 		"LateWorth":                             func(s *Settings) { s.Classes[0].LateWorth = math.Inf(1) },
 		"\"small\" is set twice or has a Quota": func(s *Settings) { s.Tenants[1].Quota = math.NaN() },
 		"\"big\" is set twice":                  func(s *Settings) { s.Tenants = append(s.Tenants, s.Tenants[0]) },
@@ -447,11 +447,11 @@
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		s := settings()
 		if s.Requirements.OverloadFactor = f; !refused(s) {
-			t.Errorf("TipMultiple %v is taken", f)
+			t.Errorf("OverloadFactor %v is taken", f)
 		}
 		s = settings()
 		if s.Requirements.ColdCapacity = f; !refused(s) {
-			t.Errorf("ColdFrom %v is taken", f)
+			t.Errorf("ColdCapacity %v is taken", f)
 		}
 	}
 	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrInvalidSettings) || !strings.Contains(err.Error(), "Host") {
--- a/cmd/clayladder-sim/main_test.go
+++ b/cmd/clayladder-sim/main_test.go
@@ -41,7 +41,7 @@
 func TestBadSettingsCrashTheDay(t *testing.T) {
 	bad := strings.Replace(params, `"max_attempts":3`, `"max_attempts":0`, 1)
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
-	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=garnettide: bad settings: Limits.MaxAttempts") {
+	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=garnettide: invalid settings: Limits.MaxAttempts") {
 		t.Errorf("error %v, got %q", err, got)
 	}
 }
--- a/host_test.go
+++ b/host_test.go
@@ -51,15 +51,17 @@
 		Zone: "near", Balancers: 2, OverQuotaWorth: 0.1, WorthByWork: true,
 		Classes: []Class{
 			{Name: "read", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: Idempotent, Worth: 1, LateWorth: 0.5},
-			{Name: "keyed", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: IdempotentByKey, DedupScope: DedupZone, DedupWindow: 400 * ms, Worth: 3},
+			{Name: "keyed", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: IdempotentByKey,
+				DedupScope: DedupZone, DedupWindow: 400 * ms, Worth: 3},
 			{Name: "write", LatencyTarget: 300 * ms, Deadline: time.Second, Idempotency: NonIdempotent, Worth: 2},
 		},
-		Tenants:      []Tenant{{Name: "big", Quota: 200}, {Name: "small", Quota: 20}},
-		Limits:       Limits{Cancel: true, Probes: true, MaxAttempts: 4},
-		Requirements: Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3, OverloadWindow: 1500 * ms, DrainGrace: time.Second, AnswerSlack: 20 * ms},
-		Weights:      WeightNominal,
-		Reports:      ReportInResponses,
-		Granularity:  5 * ms,
+		Tenants: []Tenant{{Name: "big", Quota: 200}, {Name: "small", Quota: 20}},
+		Limits:  Limits{Cancel: true, Probes: true, MaxAttempts: 4},
+		Requirements: Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second,
+			OverloadFactor: 3, OverloadWindow: 1500 * ms, DrainGrace: time.Second, AnswerSlack: 20 * ms},
+		Weights:     WeightNominal,
+		Reports:     ReportInResponses,
+		Granularity: 5 * ms,
 	}
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -56,10 +56,11 @@
 }
 
 var (
-	repeats = map[string]garnettide.Idempotency{"read_like": garnettide.Idempotent, "idempotency_key": garnettide.IdempotentByKey,
-		"non_idempotent": garnettide.NonIdempotent}
-	groups = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone, "cell": garnettide.DedupCell}
-	weigh  = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
+	repeats = map[string]garnettide.Idempotency{"read_like": garnettide.Idempotent,
+		"idempotency_key": garnettide.IdempotentByKey, "non_idempotent": garnettide.NonIdempotent}
+	groups = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone,
+		"cell": garnettide.DedupCell}
+	weigh = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
 		"rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
 	vias = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone, "piggyback": garnettide.ReportInResponses,
 		"pull": garnettide.ReportInProbes}
@@ -131,8 +132,10 @@
 	s.WorthByWork, s.Granularity = p.WorthBy == "work", us(p.Granularity)
 	s.Limits = garnettide.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
 		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
-	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: us(p.Requirements.MaxDiscoveryInterval), ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: us(p.Requirements.WarmupTime),
-		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: us(p.Requirements.OverloadWindow), DrainGrace: us(p.Requirements.DrainGrace),
+	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: us(p.Requirements.MaxDiscoveryInterval),
+		ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: us(p.Requirements.WarmupTime),
+		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: us(p.Requirements.OverloadWindow),
+		DrainGrace:  us(p.Requirements.DrainGrace),
 		AnswerSlack: us(p.Requirements.Slack)}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
 	var ok bool
@@ -154,8 +157,8 @@
 	if err := d.Decode(&p); err != nil {
 		return fmt.Errorf("%q: %w", p.Name, whole(err))
 	}
-	c := garnettide.Class{Name: p.Name, LatencyTarget: us(p.Target), Deadline: us(p.GiveUp), DedupWindow: us(p.DedupWindow), Worth: p.Worth,
-		LateWorth: p.LateWorth}
+	c := garnettide.Class{Name: p.Name, LatencyTarget: us(p.Target), Deadline: us(p.GiveUp), DedupWindow: us(p.DedupWindow),
+		Worth: p.Worth, LateWorth: p.LateWorth}
 	var ok bool
 	if c.Idempotency, ok = repeats[p.Idempotency]; !ok {
 		return fmt.Errorf("%q: repeat %q is unknown", p.Name, p.Idempotency)
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -76,7 +76,7 @@
 
 // Cold upstreams fall under the sum of what all balancers send. However many share one, however uneven their traffic, also
 // where the balancers have just started or all upstreams are cold, the sum stays within what the settings allow: in any
-// TipAfter no more than N + 2 x root of N + 2, N being the multiple of what the upstream can do in it. Yet it is used, or
+// OverloadWindow no more than N + 2 x root of N + 2, N being the multiple of what the upstream can do in it. Yet it is used, or
 // the others would have to carry its part.
 func TestColdUpstreamBearsTheSumOfAllBalancers(t *testing.T) {
 	for _, c := range []warmUp{
--- a/settings.go
+++ b/settings.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// ErrSettings is wrapped by every error that New and NewPlan return for settings.
-var ErrInvalidSettings = errors.New("bad settings")
+// ErrInvalidSettings is wrapped by all errors of New, NewPlan and PlanBuilder.
+var ErrInvalidSettings = errors.New("invalid settings")
 
-// bad reports a setting that is missing or out of range.
+// invalidSetting returns an error that wraps ErrInvalidSettings.
 func invalidSetting(format string, args ...any) error {
 	return fmt.Errorf("garnettide: %w: %s", ErrInvalidSettings, fmt.Sprintf(format, args...))
 }
 
-// amount tells whether x is a finite figure that is not negative.
+// finiteNonNegative reports whether x is finite and not negative.
 func finiteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
-// Plan is settings that have been checked, with what is derived from them. It never changes, so any number of Balancers and
-// goroutines may share it.
+// Plan holds valid settings and values derived from them. It is immutable and may be shared by Balancers and
+// goroutines.
 type Plan struct {
 	s           Settings // without Classes and Tenants
 	classes     map[string]*Class
-	tenants     map[string]float64 // quotas
-	minWorth    float64            // worth of a class, over nought; infinite: none is worth anything
-	safest      Idempotency
-	minTarget   time.Duration // aim
-	maxDeadline time.Duration // deadline
+	tenants     map[string]float64 // quotas by name
+	minWorth    float64            // smallest positive worth of a class; +Inf: there is none
+	safest      Idempotency        // smallest Idempotency of a class
+	minTarget   time.Duration      // smallest latency target of a class
+	maxDeadline time.Duration      // longest deadline of a class
 }
 
-// NewPlan checks settings and makes a plan of them, or an error that names the setting that is wrong. It may be called on
-// any goroutine. It calls step after each small part of the work, which grows as the classes and tenants do.
+// NewPlan checks settings and returns a plan, or an error that names an invalid setting and wraps ErrInvalidSettings. It
+// calls yield after each class and tenant, so that a caller can pause during long lists. It may run on any goroutine.
 func NewPlan(s Settings, yield func()) (*Plan, error) {
 	b := NewPlanBuilder()
 	for _, c := range s.Classes {
@@ -49,16 +49,16 @@
 	return b.Plan(s)
 }
 
-// PlanBuilder makes a plan of classes and tenants that come one by one: large allocations take long at a stretch.
+// PlanBuilder makes a plan from classes and tenants that are added one by one, which avoids large allocations.
 type PlanBuilder struct{ plan *Plan }
 
-// NewPlanBuilder returns a PlanBuilder of a plan without classes and tenants.
+// NewPlanBuilder returns a PlanBuilder without classes and tenants.
 func NewPlanBuilder() *PlanBuilder {
-	return &PlanBuilder{&Plan{classes: map[string]*Class{}, tenants: map[string]float64{}, minWorth: math.Inf(1), safest: NonIdempotent,
-		minTarget: math.MaxInt64}}
+	return &PlanBuilder{&Plan{classes: map[string]*Class{}, tenants: map[string]float64{}, minWorth: math.Inf(1),
+		safest: NonIdempotent, minTarget: math.MaxInt64}}
 }
 
-// AddClass adds a class, or returns an error that names it.
+// AddClass adds a class. It returns an error if the class is invalid or its name is taken.
 func (b *PlanBuilder) AddClass(c Class) error {
 	plan := b.plan
 	if plan.classes[c.Name] != nil {
@@ -67,14 +67,15 @@
 		return err
 	}
 	plan.classes[c.Name] = &c
-	plan.safest, plan.minTarget, plan.maxDeadline = min(plan.safest, c.Idempotency), min(plan.minTarget, c.LatencyTarget), max(plan.maxDeadline, c.Deadline)
+	plan.safest, plan.minTarget, plan.maxDeadline = min(plan.safest, c.Idempotency),
+		min(plan.minTarget, c.LatencyTarget), max(plan.maxDeadline, c.Deadline)
 	if c.Worth > 0 {
 		plan.minWorth = min(plan.minWorth, c.Worth)
 	}
 	return nil
 }
 
-// AddTenant adds a tenant, or returns an error that names it.
+// AddTenant adds a tenant. It returns an error if the quota is invalid or the name is taken.
 func (b *PlanBuilder) AddTenant(t Tenant) error {
 	if _, exists := b.plan.tenants[t.Name]; exists || !finiteNonNegative(t.Quota) {
 		return invalidSetting("tenant %q is set twice or has a Quota that is negative or not finite", t.Name)
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// Plan returns the plan, with the other settings of s, or an error that names the one that is wrong. The builder must not be
-// used any more.
+// Plan returns the plan with the other settings of s, or an error that names an invalid one. It ignores the classes and
+// tenants of s. The builder must not be used afterwards.
 func (b *PlanBuilder) Plan(s Settings) (*Plan, error) {
 	if len(b.plan.classes) == 0 {
 		return nil, invalidSetting("Classes is missing or out of range")
@@ -96,28 +97,28 @@
 	return b.plan, nil
 }
 
-// Settings returns what the plan was made of but for the classes and tenants.
+// Settings returns the settings of the plan without the classes and tenants.
 func (p *Plan) Settings() Settings { return p.s }
 
-// Class returns a class, which is not to be changed; nil: there is none of that name.
+// Class returns the class with a name, or nil if there is none. The class must not be modified.
 func (p *Plan) Class(name string) *Class { return p.classes[name] }
 
-// Longest returns the longest deadline of a class.
+// MaxDeadline returns the longest deadline of all classes.
 func (p *Plan) MaxDeadline() time.Duration { return p.maxDeadline }
 
-// Size returns how many classes and tenants there are.
+// Size returns the number of classes and tenants.
 func (p *Plan) Size() (classes, tenants int) { return len(p.classes), len(p.tenants) }
 
-// Counts is how many names a plan has that an older one lacks, has otherwise, and lacks.
+// DiffCounts counts the entries that were added, changed and removed between two plans.
 type DiffCounts struct{ Added, Changed, Removed int }
 
-// Change is what a plan changes over an older one.
+// PlanDiff is the difference between a plan and an older one.
 type PlanDiff struct {
 	Classes, Tenants               DiffCounts
 	removedClasses, removedTenants []string
 }
 
-// Since compares p with an older plan. It calls step as NewPlan does.
+// Since returns the difference between p and an older plan. It calls yield after each class and tenant compared.
 func (p *Plan) Since(old *Plan, yield func()) PlanDiff {
 	var c PlanDiff
 	if p == old {
@@ -155,7 +156,7 @@
 	return c
 }
 
-// validate names what is missing or out of range, but for the classes and tenants.
+// validate checks all settings except the classes and tenants.
 func (s Settings) validate() error {
 	r := s.Requirements
 	for _, x := range []struct {
@@ -164,16 +165,16 @@
 	}{
 		{"Balancers", s.Balancers >= 1},
 		{"Rank", s.Rank >= 0 && s.Rank < max(s.Balancers, 1)},
-		{"OverShareWorth", finiteNonNegative(s.OverQuotaWorth)},
+		{"OverQuotaWorth", finiteNonNegative(s.OverQuotaWorth)},
 		{"Granularity", s.Granularity >= 0},
 		{"Weights", s.Weights <= WeightLoadAdjusted},
 		{"Reports", s.Reports <= ReportInProbes},
 		{"Limits.MaxAttempts", s.Limits.MaxAttempts >= 1},
-		{"Rules.TipAfter", r.OverloadWindow > 0},
-		{"Rules.RampTime", r.WarmupTime > 0},
-		{"Rules.TipMultiple", finiteNonNegative(r.OverloadFactor) && r.OverloadFactor > 0},
-		{"Rules.ColdFrom", r.ColdCapacity > 0 && r.ColdCapacity <= 1},
-		{"Rules.AskWithin", r.MaxDiscoveryInterval > 0 || (r.MaxDiscoveryInterval == 0 && !s.PollDiscovery)},
+		{"Requirements.OverloadWindow", r.OverloadWindow > 0},
+		{"Requirements.WarmupTime", r.WarmupTime > 0},
+		{"Requirements.OverloadFactor", finiteNonNegative(r.OverloadFactor) && r.OverloadFactor > 0},
+		{"Requirements.ColdCapacity", r.ColdCapacity > 0 && r.ColdCapacity <= 1},
+		{"Requirements.MaxDiscoveryInterval", r.MaxDiscoveryInterval > 0 || (r.MaxDiscoveryInterval == 0 && !s.PollDiscovery)},
 	} {
 		if !x.ok {
 			return invalidSetting("%s is missing or out of range", x.name)
@@ -182,28 +183,28 @@
 	return nil
 }
 
-// validate names what of a class is out of range.
+// validate checks the settings of a class.
 func (c Class) validate() error {
 	switch {
 	case !finiteNonNegative(c.Worth) || !finiteNonNegative(c.LateWorth):
 		return invalidSetting("class %q: Worth and LateWorth must be finite and not negative", c.Name)
 	case c.LatencyTarget <= 0:
-		return invalidSetting("class %q: Aim must be over zero", c.Name)
+		return invalidSetting("class %q: LatencyTarget must be greater than zero", c.Name)
 	case c.Deadline < c.LatencyTarget:
-		return invalidSetting("class %q: Deadline is before Aim", c.Name)
+		return invalidSetting("class %q: Deadline must not be shorter than LatencyTarget", c.Name)
 	case c.Idempotency > NonIdempotent:
-		return invalidSetting("class %q: Repeat is of no known kind", c.Name)
+		return invalidSetting("class %q: Idempotency is not a known value", c.Name)
 	case c.Idempotency == IdempotentByKey && c.DedupScope > DedupCell:
-		return invalidSetting("class %q: Group is of no known kind", c.Name)
+		return invalidSetting("class %q: DedupScope is not a known value", c.Name)
 	case c.Idempotency == IdempotentByKey && c.DedupWindow <= 0:
-		return invalidSetting("class %q: Memory must be over zero", c.Name)
+		return invalidSetting("class %q: DedupWindow must be greater than zero", c.Name)
 	}
 	return nil
 }
 
-// What owners tell while running is not refused but cleaned, so that no figure poisons a mean.
+// Invalid values in events are replaced rather than rejected, to keep them out of running means.
 
-// clean returns l without the values that are negative or not finite.
+// sanitized returns l without values that are negative, not finite or larger than math.MaxInt32.
 func (l Load) sanitized() Load {
 	for i, x := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.ServiceTime, &l.RequestRate, &l.ErrorRate} {
 		if !finiteNonNegative(*x) || *x > math.MaxInt32 {
@@ -213,13 +214,14 @@
 	return l
 }
 
-// clean returns o with a latency over zero and a clean load.
+// sanitized returns o with a latency of at least 1 ns and a sanitized load.
 func (o Outcome) sanitized() Outcome {
 	o.Latency, o.Load = max(o.Latency, 1), o.Load.sanitized()
 	return o
 }
 
-// clean returns u with a weight that can be set against others: 1 if it is not finite or not over zero.
+// sanitized returns u with a weight of 1 if its weight is not finite, not greater than zero or larger than
+// math.MaxInt32.
 func (u Upstream) sanitized() Upstream {
 	if !finiteNonNegative(u.Weight) || u.Weight == 0 || u.Weight > math.MaxInt32 {
 		u.Weight = 1
--- a/slowstart.go
+++ b/slowstart.go
@@ -20,7 +20,7 @@
 	u.readings, u.mean, u.dev, u.area, u.bound, u.least, u.calm = 0, 0, 0, 0, b.start, 0, 0
 }
 
-// coldRoom reports whether r fits this balancer's part of what a cold u may get over TipAfter, judged by what
+// coldRoom reports whether r fits this balancer's part of what a cold u may get over OverloadWindow, judged by what
 // warm ones carry. Half of that is left for bursts unless u reports use to spare: it may be faster or warm
 // sooner than is sure. No request counts less than the mean, as small ones have a fixed part too.
 func (b *Balancer) coldRoom(u *upstream, r *request, now time.Duration) bool {
