--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
+	"garnettide"
 )
 
 const (
@@ -124,7 +124,7 @@
 
 // frontend takes requests from clients, hands them to the loop and writes its answers.
 type frontend struct {
-	plan     atomic.Pointer[clayladder.Plan] // in force
+	plan     atomic.Pointer[garnettide.Plan] // in force
 	held     *holder
 	post     func(event)
 	now      func() time.Duration
@@ -294,7 +294,7 @@
 // process at once.
 func (f *frontend) stop() {
 	f.mu.Lock()
-	f.leaving, f.killAt = true, time.Now().Add(min(f.plan.Load().Longest(), longestTaken)+killGrace-firstBytes)
+	f.leaving, f.killAt = true, time.Now().Add(min(f.plan.Load().MaxDeadline(), longestTaken)+killGrace-firstBytes)
 	wait := lameDuck
 	if f.shared {
 		wait = idleGrace
@@ -779,14 +779,14 @@
 		return nil, bad("the path does not begin with the class")
 	case id == "":
 		return nil, bad("X-Request-Id is wanted")
-	case (class.Repeat == clayladder.Safe) != (method == http.MethodGet),
-		class.Repeat != clayladder.Safe && method != http.MethodPost:
+	case (class.Idempotency == garnettide.Idempotent) != (method == http.MethodGet),
+		class.Idempotency != garnettide.Idempotent && method != http.MethodPost:
 		return nil, bad("the method does not fit the class")
-	case (class.Repeat == clayladder.Keyed) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
+	case (class.Idempotency == garnettide.IdempotentByKey) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
 		return nil, bad("Idempotency-Key does not fit the class")
 	}
 	q := &request{name: id, reply: make(chan answer, 1)}
-	q.Class, q.Terms, q.Tenant, q.Retry = class.Name, class, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
+	q.Class, q.ClassSettings, q.Tenant, q.Retry = class.Name, class, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
 	q.Budget = class.Deadline
 	if len(h["X-Deadline-Ms"]) > 0 {
 		ms, ok := digits(h.Get("X-Deadline-Ms"))
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // This file puts a configuration in force that has changed: it is read, checked and built away from the loop, and handed
@@ -106,8 +106,8 @@
 type Reload struct {
 	Discovery string
 	Links     wire.Links
-	Plan      *clayladder.Plan
-	Change    clayladder.Change // over the Reload before
+	Plan      *garnettide.Plan
+	PlanDiff  garnettide.PlanDiff // over the Reload before
 	Hash      string
 
 	signal  time.Time
@@ -122,7 +122,7 @@
 }
 
 func (e reloaded) apply(l *loop) {
-	l.balancer.Reconfigure(l.now(), e.Plan, e.Change)
+	l.balancer.Reconfigure(l.now(), e.Plan, e.PlanDiff)
 	l.settings = e.Plan.Settings()
 	l.dial.timeout, l.idleFor = e.Links.ConnectTimeout, idleFor(e.Links)
 	if e.front != nil { // last: what it lets pass by the new plan the module knows
@@ -133,7 +133,7 @@
 		l.discovery.end()
 		l.discovery, l.revision = newDiscovery(l.ctx, e.Discovery, l.list), 0
 		if l.stopWatch != nil {
-			l.balancer.Members(l.now(), clayladder.ListStale, nil)
+			l.balancer.Members(l.now(), garnettide.ListStale, nil)
 		}
 	}
 	took := time.Since(e.signal)
@@ -154,7 +154,7 @@
 type Reloader struct {
 	getenv func(string) string
 	start  Config           // what can't change
-	plan   *clayladder.Plan // of the Reload before, or of the start
+	plan   *garnettide.Plan // of the Reload before, or of the start
 	last   Reload           // that one, without what it changed
 	hash   string           // of the file in force
 	noted  time.Time        // the first signal since the one that is being followed; zero: none
@@ -250,7 +250,7 @@
 		r.last = Reload{Discovery: c.Discovery, Links: c.Links, Plan: c.Plan, Hash: hash, told: r.start.SettingsInForce}
 	}
 	x := r.last
-	x.Change, x.inForce = x.Plan.Since(r.plan, work.step), make(chan time.Duration, 1)
+	x.PlanDiff, x.inForce = x.Plan.Since(r.plan, work.step), make(chan time.Duration, 1)
 	r.plan = x.Plan
 	return x, nil
 }
@@ -279,7 +279,7 @@
 		return
 	}
 	r.hash = x.Hash
-	c, t := x.Change.Classes, x.Change.Tenants
+	c, t := x.PlanDiff.Classes, x.PlanDiff.Tenants
 	r.log.Info("configuration in force", "hash", x.Hash, "took", took, "classes_added", c.Added, "classes_changed", c.Changed,
-		"classes_gone", c.Gone, "tenants_added", t.Added, "tenants_changed", t.Changed, "tenants_gone", t.Gone)
+		"classes_gone", c.Removed, "tenants_added", t.Added, "tenants_changed", t.Changed, "tenants_gone", t.Removed)
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -28,8 +28,8 @@
 	"time"
 	"unsafe"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"garnettide"
+	"garnettide/internal/wire"
 )
 
 // configWith returns a configuration of settingsText in which old and new, in turn, are replaced.
@@ -347,7 +347,7 @@
 	s := newServer(t, okAll)
 	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
 	r.reload(t, added("parcel")...)
-	in := func() (p *clayladder.Plan) {
+	in := func() (p *garnettide.Plan) {
 		r.loopSays(func(l *loop) bool { p = l.balancer.Plan(); return true })
 		return p
 	}
@@ -379,9 +379,9 @@
 		{spoilt(`"membership_mode":"on_request"`, `"membership_mode":"by hand"`), []string{"membership_mode", "by hand"}},
 		{spoilt(`"name":"pay"`, `"name":"read"`), []string{"profiles", "read", "twice"}},
 		{spoilt(`"repeat":"idempotency_key"`, `"repeat":"often"`), []string{"profiles", "pay", "often"}},
-		{spoilt(`"memory_span_us":9000000`, `"memory_span_us":0`), []string{"pay", "Memory"}},
+		{spoilt(`"memory_span_us":9000000`, `"memory_span_us":0`), []string{"pay", "DedupWindow"}},
 		{spoilt(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":"2 s"`), []string{"checkin", "target_us"}},
-		{spoilt(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":0`), []string{"checkin", "Aim"}},
+		{spoilt(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":0`), []string{"checkin", "LatencyTarget"}},
 		{tenants(`[{"name":"t1","quota_rps":1},{"name":"t1","quota_rps":1}]`), []string{"tenants", "t1", "twice"}},
 		{tenants(`[{"name":"t1","quota_rps":-1}]`), []string{"tenants", "t1", "Quota"}},
 		{tenants(`{"t1":1}`), []string{"tenants", "invalid character"}},
@@ -694,7 +694,7 @@
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
 	l.Watch(false)
-	l.members(clayladder.ListFull, listing{})
+	l.members(garnettide.ListFull, listing{})
 	r := NewReloader(getenv, c)
 	r.log = slog.New(slog.DiscardHandler)
 	c = Config{}
@@ -752,7 +752,7 @@
 		steps++
 		most, last = max(most, in.n-last), in.n
 	})
-	plan := clayladder.NewPlanBuilder()
+	plan := garnettide.NewPlanBuilder()
 	if err := d.Object(func(key string) error {
 		if key != "settings" {
 			return d.Field(key, &file{})
