--- a/cmd/clayladder-sim/main.go
+++ b/cmd/clayladder-sim/main.go
@@ -36,50 +36,50 @@
 		for i := range batch.Events {
 			deliver(instances, writer, batch.At, &batch.Events[i])
 		}
-		if err := writer.Done(batch.Serial); err != nil {
+		if err := writer.EndReply(batch.Serial); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
 // deliver hands one event to its instance; a panic ends the day with its text.
-func deliver(instances map[int]*garnettide.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
+func deliver(instances map[int]*garnettide.Balancer, w *wire.Writer, now time.Duration, event *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			wire.NewPort(w, e.Instance).Crash(fmt.Sprint(p))
-			delete(instances, e.Instance)
+			wire.NewInstanceWriter(w, event.Instance).Crash(fmt.Sprint(p))
+			delete(instances, event.Instance)
 		}
 	}()
-	if e.Kind == wire.Attach {
-		port := wire.NewPort(w, e.Instance)
-		b, err := garnettide.New(e.Settings, e.Seed, now, port)
+	if event.Kind == wire.EventAttach {
+		host := wire.NewInstanceWriter(w, event.Instance)
+		b, err := garnettide.New(event.Settings, event.Seed, now, host)
 		if err != nil {
-			port.Crash(err.Error())
+			host.Crash(err.Error())
 			return
 		}
-		instances[e.Instance] = b
+		instances[event.Instance] = b
 		return
 	}
-	b := instances[e.Instance]
+	b := instances[event.Instance]
 	if b == nil {
 		return
 	}
-	switch e.Kind {
-	case wire.Exit:
-		delete(instances, e.Instance)
-	case wire.Endpoints:
-		b.Members(now, e.Mode, e.List)
-	case wire.Inbound:
-		b.Request(now, e.Request)
-	case wire.Established:
-		b.ResponseStarted(now, e.Outcome)
-	case wire.Verdict:
-		b.Outcome(now, e.Outcome)
-	case wire.Lapsed:
-		b.ClientGone(now, e.Request.ID)
-	case wire.Elapsed:
-		b.Timer(now, e.Token)
-	case wire.Health:
-		b.Probed(now, e.Probe)
+	switch event.Kind {
+	case wire.EventExit:
+		delete(instances, event.Instance)
+	case wire.EventMembers:
+		b.Members(now, event.Mode, event.List)
+	case wire.EventRequest:
+		b.Request(now, event.Request)
+	case wire.EventResponseStarted:
+		b.ResponseStarted(now, event.Outcome)
+	case wire.EventOutcome:
+		b.Outcome(now, event.Outcome)
+	case wire.EventClientGone:
+		b.ClientGone(now, event.Request.ID)
+	case wire.EventTimer:
+		b.Timer(now, event.Token)
+	case wire.EventProbed:
+		b.Probed(now, event.Probe)
 	}
 }
--- a/cmd/clayladder-sim/main_test.go
+++ b/cmd/clayladder-sim/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const params = `{"az":"z1","balancers":1,"granularity_us":5000,"membership_mode":"pushed","weights":"nominal",` +
+const settingsText = `{"az":"z1","balancers":1,"granularity_us":5000,"membership_mode":"pushed","weights":"nominal",` +
 	`"worth_by":"request","limits":{"max_attempts":3,"cancel":true},"obligations":{"cold_from":0.3,` +
 	`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":160000,` +
 	`"give_up_us":750000,"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"}}`
@@ -22,7 +22,7 @@
 	in := "frame at_time_us=1000 serial=1\neob\n" +
 		"frame at_time_us=1000000 serial=2\n" +
 		"sheet bank=0 items=1\nm upstream=9 availability=active\n" +
-		"attach balancer_id=3 random_seed=5 params=" + params + "\n" +
+		"attach balancer_id=3 random_seed=5 params=" + settingsText + "\n" +
 		"endpoints balancer_id=3 mode=C rev=1 bank=0\n" +
 		"inbound balancer_id=3 id=912855b15d3a91c4 budget_us=750000 class=c\neob\n" +
 		"frame at_time_us=1040000 serial=3\n" +
@@ -38,17 +38,17 @@
 	}
 }
 
-func TestBadSettingsCrashTheDay(t *testing.T) {
-	bad := strings.Replace(params, `"max_attempts":3`, `"max_attempts":0`, 1)
-	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
+func TestInvalidSettingsWriteCrash(t *testing.T) {
+	invalid := strings.Replace(settingsText, `"max_attempts":3`, `"max_attempts":0`, 1)
+	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+invalid+"\neob\n")
 	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=garnettide: invalid settings: Limits.MaxAttempts") {
 		t.Errorf("error %v, got %q", err, got)
 	}
 }
 
 // A second attach starts the instance anew; events for one that is unknown or has exited do nothing.
-func TestAttachAgainAndUnknownInstances(t *testing.T) {
-	attach := "attach balancer_id=3 random_seed=5 params=" + params + "\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
+func TestRepeatedAttachAndUnknownInstances(t *testing.T) {
+	attach := "attach balancer_id=3 random_seed=5 params=" + settingsText + "\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
 	in := "frame at_time_us=1000000 serial=1\nsheet bank=0 items=1\nm upstream=9 availability=active\n" + attach +
 		"inbound balancer_id=3 id=912855b15d3a91c4 budget_us=750000 class=c\neob\n" +
 		"frame at_time_us=1010000 serial=2\n" + attach +
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestMalformedInputStopsWithoutAReply(t *testing.T) {
+func TestMalformedInputGetsNoReply(t *testing.T) {
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nbogus balancer_id=1\neob\n")
 	if err == nil || got != "" {
 		t.Errorf("error %v, got %q", err, got)
--- a/cmd/olivearch/descriptors_test.go
+++ b/cmd/olivearch/descriptors_test.go
@@ -20,7 +20,7 @@
 )
 
 // fullOf has a program start with so many descriptors.
-func fullOf(cmd *exec.Cmd, descriptors int) *exec.Cmd {
+func withDescriptorLimit(cmd *exec.Cmd, descriptors int) *exec.Cmd {
 	limited := exec.Command("/bin/sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$@"`, descriptors), "sh"}, cmd.Args...)...)
 	limited.Dir = cmd.Dir
 	return limited
@@ -30,39 +30,39 @@
 // back it is reached, its list is taken, and a request is served by what that names.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
 	const descriptors = 96
-	limit, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "done") }))
 	defer upstream.Close()
-	listen, discovery := free(t), free(t)
+	listen, discovery := freeAddress(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(config, listen, discovery)
+	text := fmt.Sprintf(configFormat, listen, discovery)
 	text = strings.Replace(text, `"sockets":1024`, fmt.Sprintf(`"sockets":%d`, descriptors), 1)
 	text = strings.Replace(text, `"ask_within_us":10000000`, `"ask_within_us":1000000`, 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd, log := fullOf(program(t), descriptors), &bytes.Buffer{}
+	cmd, log := withDescriptorLimit(command(t), descriptors), &bytes.Buffer{}
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	defer func() {
 		cmd.Process.Signal(syscall.SIGTERM)
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			if err != nil {
 				t.Errorf("after SIGTERM: %v\n%s", err, log)
 			}
 		case <-time.After(30 * time.Second):
 			cmd.Process.Kill()
-			t.Errorf("not ended in time: %v", <-ended)
+			t.Errorf("not ended in time: %v", <-exited)
 		}
 	}()
-	ask := func(request string) int {
+	statusOf := func(request string) int {
 		c, err := net.DialTimeout("tcp", listen, time.Second)
 		if err != nil {
 			return 0
@@ -77,35 +77,35 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	until := func(what string, so func() bool) {
+	waitUntil := func(description string, condition func() bool) {
 		t.Helper()
-		for !so() {
-			if limit.Err() != nil {
-				t.Fatalf("never: %s", what)
+		for !condition() {
+			if ctx.Err() != nil {
+				t.Fatalf("never: %s", description)
 			}
 		}
 	}
-	health := "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-	until("healthy", func() bool { return ask(health) == http.StatusOK })
+	healthRequest := "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+	waitUntil("healthy", func() bool { return statusOf(healthRequest) == http.StatusOK })
 
-	idle, stop := context.WithCancel(limit)
+	clientsCtx, stopClients := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
-	defer stop()
-	idles := make(chan struct{}, 4*descriptors)
+	defer stopClients()
+	connected := make(chan struct{}, 4*descriptors)
 	for i := range 2 * descriptors {
 		clients.Go(func() {
-			for first := true; idle.Err() == nil; first = false {
-				c, err := (&net.Dialer{}).DialContext(idle, "tcp", listen)
+			for first := true; clientsCtx.Err() == nil; first = false {
+				c, err := (&net.Dialer{}).DialContext(clientsCtx, "tcp", listen)
 				if err != nil {
 					continue
 				}
-				over := context.AfterFunc(idle, func() { c.Close() })
+				over := context.AfterFunc(clientsCtx, func() { c.Close() })
 				if i%2 == 0 { // the others say nothing
-					io.WriteString(c, health)
+					io.WriteString(c, healthRequest)
 				}
 				if first {
-					idles <- struct{}{}
+					connected <- struct{}{}
 				}
 				io.Copy(io.Discard, c) // until the balancer or the test closes it
 				over()
@@ -114,7 +114,7 @@
 		})
 	}
 	for range 2 * descriptors {
-		<-idles
+		<-connected
 	}
 	l, err := net.Listen("tcp", discovery)
 	if err != nil {
@@ -137,13 +137,13 @@
 	for range 2 { // the second call says that the list has been taken
 		select {
 		case <-called:
-		case <-limit.Done():
+		case <-ctx.Done():
 			t.Fatal("discovery is not reached")
 		}
 	}
 	n := 0
-	until("a request is served", func() bool {
+	waitUntil("a request is served", func() bool {
 		n++
-		return ask(fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\nX-Class: c\r\nContent-Length: 0\r\n\r\n", n)) == http.StatusOK
+		return statusOf(fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\nX-Class: c\r\nContent-Length: 0\r\n\r\n", n)) == http.StatusOK
 	})
 }
--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -29,33 +29,33 @@
 	defer stop()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	c, err := proxy.LoadConfig(os.Getenv)
+	config, err := proxy.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
 	// The machine has one core. Collecting later costs memory, which the soft limit bounds, and saves time.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
-	limit := int64(c.MemoryMB) << 20 * 6 / 10
-	debug.SetMemoryLimit(limit)
-	c.Overlap = func(on bool) { // two processes have the memory of one
+	memoryLimit := int64(config.MemoryMB) << 20 * 6 / 10
+	debug.SetMemoryLimit(memoryLimit)
+	config.Overlap = func(on bool) { // two processes have the memory of one
 		if on {
-			debug.SetMemoryLimit(limit / 2)
+			debug.SetMemoryLimit(memoryLimit / 2)
 		} else {
-			debug.SetMemoryLimit(limit)
+			debug.SetMemoryLimit(memoryLimit)
 		}
 	}
-	name := c.Name // c is not held on to: it has the plan of the start
-	slog.Info("starting", "name", name, "listen", c.Listen, "known", len(c.Known.Members), "configuration", c.Hash)
-	listener, err := proxy.Listen(&c)
+	name := config.Name // c is not held on to: it has the plan of the start
+	slog.Info("starting", "name", name, "listen", config.Listen, "known", len(config.Known.Members), "configuration", config.Hash)
+	listener, err := proxy.Listen(&config)
 	if err != nil {
 		return err
 	}
 	reloads := make(chan proxy.Reload)
-	life, end := context.WithCancel(context.Background()) // SIGTERM does not end it: what was taken is still answered
-	defer end()
-	go proxy.NewReloader(os.Getenv, c).Follow(life, hangups, reloads)
-	if err := proxy.Run(ctx, c, listener, reloads); err != nil {
+	followCtx, stopFollowing := context.WithCancel(context.Background()) // SIGTERM does not end it: what was taken is still answered
+	defer stopFollowing()
+	go proxy.NewReloader(os.Getenv, config).Follow(followCtx, hangups, reloads)
+	if err := proxy.Run(ctx, config, listener, reloads); err != nil {
 		return err
 	}
 	slog.Info("stopped", "name", name)
--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-const config = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
+const configFormat = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"az":"z1","balancers":1,"membership_mode":"on_request","weights":"nominal","worth_by":"work",
 "limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":100000,"keepalive_us":60000000},
@@ -29,7 +29,7 @@
 "reporting":{"via":"piggyback"}}}`
 
 // program returns the command to start: the deployed one if RUN names it, from the root, or else one built here.
-func program(t *testing.T) *exec.Cmd {
+func command(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("RUN"); run != "" {
 		cmd := exec.Command("/bin/sh", "-c", run)
@@ -44,7 +44,7 @@
 }
 
 // free returns an address on which nothing listens.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 // TestSmoke starts the program, waits until it is healthy, sends SIGHUP with a bad and with a good configuration, and
 // ends it by SIGTERM. The first discovery is down, also in RELAY_DISCOVERY; the second must be asked.
 func TestSmoke(t *testing.T) {
-	listen := free(t)
+	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	configure := func(text string) {
 		t.Helper()
@@ -68,39 +68,39 @@
 			t.Fatal(err)
 		}
 	}
-	down := free(t)
-	configure(fmt.Sprintf(config, listen, down))
-	asked := make(chan string, 100)
-	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.Path
+	unreachable := freeAddress(t)
+	configure(fmt.Sprintf(configFormat, listen, unreachable))
+	discoveryCalls := make(chan string, 100)
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		discoveryCalls <- r.URL.Path
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer second.Close()
-	cmd := program(t)
+	defer discovery.Close()
+	cmd := command(t)
 	var log bytes.Buffer
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_DISCOVERY="+down)
-	read, err := cmd.StderrPipe()
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_DISCOVERY="+unreachable)
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended, badRead, inForce := make(chan error, 1), make(chan struct{}), make(chan struct{})
+	exited, rejected, applied := make(chan error, 1), make(chan struct{}), make(chan struct{})
 	go func() {
-		var once, onceInForce sync.Once
-		for lines := bufio.NewScanner(read); lines.Scan(); {
+		var rejectedOnce, appliedOnce sync.Once
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
 			log.WriteString(lines.Text() + "\n")
 			if strings.Contains(lines.Text(), "the old one stays") {
-				once.Do(func() { close(badRead) })
+				rejectedOnce.Do(func() { close(rejected) })
 			}
 			if strings.Contains(lines.Text(), "configuration in force") && strings.Contains(lines.Text(), "hash=") {
-				onceInForce.Do(func() { close(inForce) })
+				appliedOnce.Do(func() { close(applied) })
 			}
 		}
-		ended <- cmd.Wait()
+		exited <- cmd.Wait()
 	}()
-	limit := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for healthy := false; !healthy; {
 		resp, err := http.Get("http://" + listen + "/healthz")
 		if err == nil {
@@ -108,23 +108,23 @@
 			healthy = resp.StatusCode == http.StatusOK
 		}
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			t.Fatalf("ended early: %v\n%s", err, &log)
-		case <-limit:
+		case <-timeout:
 			cmd.Process.Kill()
-			t.Fatalf("not healthy in time: %v", <-ended)
+			t.Fatalf("not healthy in time: %v", <-exited)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	await := func(what string, happened <-chan struct{}) {
+	waitFor := func(description string, happened <-chan struct{}) {
 		t.Helper()
 		select {
 		case <-happened:
-		case err := <-ended:
-			t.Fatalf("ended before %s: %v\n%s", what, err, &log)
-		case <-limit:
+		case err := <-exited:
+			t.Fatalf("ended before %s: %v\n%s", description, err, &log)
+		case <-timeout:
 			cmd.Process.Kill()
-			t.Fatalf("%s: not in time: %v", what, <-ended)
+			t.Fatalf("%s: not in time: %v", description, <-exited)
 		}
 	}
 	signal := func(s syscall.Signal) {
@@ -135,27 +135,27 @@
 	}
 	configure("{")
 	signal(syscall.SIGHUP)
-	await("a bad configuration is logged", badRead)
-	configure(fmt.Sprintf(config, listen, second.Listener.Addr()))
+	waitFor("a bad configuration is logged", rejected)
+	configure(fmt.Sprintf(configFormat, listen, discovery.Listener.Addr()))
 	signal(syscall.SIGHUP)
-	moved := make(chan struct{})
-	go func() { <-asked; close(moved) }()
-	await("the new discovery is asked", moved)
-	await("the log says which configuration is in force", inForce)
+	discoveryCalled := make(chan struct{})
+	go func() { <-discoveryCalls; close(discoveryCalled) }()
+	waitFor("the new discovery is asked", discoveryCalled)
+	waitFor("the log says which configuration is in force", applied)
 	signal(syscall.SIGTERM)
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
 			t.Errorf("after SIGTERM: %v\n%s", err, &log)
 		}
-	case <-limit:
+	case <-timeout:
 		cmd.Process.Kill()
-		t.Fatalf("not ended in time: %v", <-ended)
+		t.Fatalf("not ended in time: %v", <-exited)
 	}
 }
 
-func TestBadStartSaysWhy(t *testing.T) {
-	cmd := program(t)
+func TestMissingConfigIsReported(t *testing.T) {
+	cmd := command(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "RELAY_CONFIG") {
@@ -164,9 +164,9 @@
 }
 
 // A descriptor that is no listening socket must end the start: the process would be taken for one that serves.
-func TestInheritedDescriptorThatDoesNotListen(t *testing.T) {
+func TestInheritedDescriptorMustListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, config, free(t), free(t)), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configFormat, freeAddress(t), freeAddress(t)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	file, err := os.Open(path)
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	cmd := program(t)
+	cmd := command(t)
 	cmd.ExtraFiles = []*os.File{file}
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_INHERITED_FD=3")
 	out, err := cmd.CombinedOutput()
@@ -212,9 +212,9 @@
 		t.Fatal(err)
 	}
 	defer program.Close()
-	interpreted := false
+	hasInterpreter := false
 	for _, p := range program.Progs {
-		interpreted = interpreted || p.Type == elf.PT_INTERP
+		hasInterpreter = hasInterpreter || p.Type == elf.PT_INTERP
 	}
 	info, err := buildinfo.ReadFile(path)
 	if err != nil {
@@ -224,8 +224,8 @@
 	for _, s := range info.Settings {
 		settings[s.Key] = s.Value
 	}
-	if !interpreted || settings["CGO_ENABLED"] != "1" || !strings.Contains(settings["-ldflags"], "-linkmode=external") {
-		t.Errorf("the build has an ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s", interpreted, settings["CGO_ENABLED"],
+	if !hasInterpreter || settings["CGO_ENABLED"] != "1" || !strings.Contains(settings["-ldflags"], "-linkmode=external") {
+		t.Errorf("the build has an ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s", hasInterpreter, settings["CGO_ENABLED"],
 			settings["-ldflags"])
 	}
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -33,7 +33,7 @@
 	Sockets   int
 	Known     listing // the upstreams as last held, maybe stale
 	Plan      *garnettide.Plan
-	Links     wire.Links
+	Links     wire.ConnTimeouts
 	Hash      string // of the file as it was read: the first twelve hex digits of its SHA-256
 	// SettingsInForce, if set, is called on the loop when a configuration that was read again is in force, with its Hash
 	// and the time since its signal.
@@ -125,7 +125,7 @@
 	if plan == nil {
 		return c, errors.New("settings are missing")
 	}
-	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
+	if c.Links.IdleTimeout <= 0 || c.Links.ConnectTimeout <= 0 {
 		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
 	}
 	if c.Plan, err = plan.Plan(settings); err != nil {
@@ -148,7 +148,7 @@
 			return errors.New("members is there twice")
 		}
 		known.Members = []member{}
-		return d.List(func(int) error {
+		return d.Array(func(int) error {
 			var m member
 			if err := d.Decode(&m); err != nil {
 				return err
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -39,7 +39,7 @@
 	want(t, "name", c.Name, "n4")
 	want(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
 	want(t, "known", c.Known.Revision, uint64(41))
-	want(t, "keep-alive", c.Links.KeepAlive, time.Minute)
+	want(t, "keep-alive", c.Links.IdleTimeout, time.Minute)
 	classes, _ := c.Plan.Size()
 	want(t, "classes", classes, 3)
 }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -105,7 +105,7 @@
 // Reload is a configuration that was read again, checked and built: all that is left is to go by it.
 type Reload struct {
 	Discovery string
-	Links     wire.Links
+	Links     wire.ConnTimeouts
 	Plan      *garnettide.Plan
 	PlanDiff  garnettide.PlanDiff // over the Reload before
 	Hash      string
@@ -146,8 +146,8 @@
 }
 
 // idleFor is how long a connection to an upstream may idle.
-func idleFor(links wire.Links) time.Duration {
-	return max(links.KeepAlive-spareIdle, links.KeepAlive/2)
+func idleFor(links wire.ConnTimeouts) time.Duration {
+	return max(links.IdleTimeout-spareIdle, links.IdleTimeout/2)
 }
 
 // Reloader reads a process's configuration again on each signal, and makes a Reload of it.
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -417,7 +417,7 @@
 			return garnettide.Load{}
 		}
 		named[name] = true
-		wire.SetLoad(&l, name, x)
+		wire.SetLoadValue(&l, name, x)
 	}
 	if l.Util > maxUtil {
 		return garnettide.Load{}
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -20,16 +20,16 @@
 
 // The kinds of events.
 const (
-	Attach Kind = iota
-	Exit
-	Endpoints
-	Inbound
-	Established
-	Verdict
-	Lapsed
-	Elapsed
-	Health
-	Inbox
+	EventAttach Kind = iota
+	EventExit
+	EventMembers
+	EventRequest
+	EventResponseStarted
+	EventOutcome
+	EventClientGone
+	EventTimer
+	EventProbed
+	EventMessage
 )
 
 // Event is one event for one instance. Kind tells which fields are set.
@@ -54,36 +54,36 @@
 }
 
 // banks is how many numbered lists the protocol has.
-const banks = 16
+const bankCount = 16
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	long  []byte
-	names map[string]string
-	lists [banks][]garnettide.Upstream
-	known [banks]bool
-	parts fields
+	in         *bufio.Reader
+	line       int
+	longLine   []byte
+	interned   map[string]string
+	lists      [bankCount][]garnettide.Upstream
+	received   [bankCount]bool
+	lineFields fields
 }
 
 // NewReader returns a Reader of r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), names: map[string]string{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), interned: map[string]string{}}
 }
 
 // Next reads a batch into b, whose events are overwritten. It returns io.EOF at the
 // end of input and an error that names line and field if the input is malformed.
 func (r *Reader) Next(b *Batch) error {
-	line, err := r.next()
+	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
-	if err := r.frame(line, b); err != nil {
+	if err := r.readFrame(line, b); err != nil {
 		return fmt.Errorf("line %d: %w", r.line, err)
 	}
 	for {
-		line, err := r.next()
+		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: batch %d ends without eob", r.line, b.Serial)
 		}
@@ -93,22 +93,22 @@
 		if string(line) == "eob" {
 			return nil
 		}
-		if err := r.event(line, b); err != nil {
+		if err := r.readEvent(line, b); err != nil {
 			return fmt.Errorf("line %d: %w", r.line, err)
 		}
 	}
 }
 
 // next returns the next line without its end. The slice holds until the next call.
-func (r *Reader) next() ([]byte, error) {
+func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	switch {
 	case errors.Is(err, io.EOF) && len(line) > 0:
@@ -122,66 +122,66 @@
 	return line[:len(line)-1], nil
 }
 
-func (r *Reader) frame(line []byte, b *Batch) error {
-	name, err := r.parts.split(line)
+func (r *Reader) readFrame(line []byte, b *Batch) error {
+	name, err := r.lineFields.split(line)
 	if err != nil {
 		return err
 	}
 	if string(name) != "frame" {
 		return fmt.Errorf("message %q where frame was expected", name)
 	}
-	f := &r.parts
-	b.At = f.span("at_time_us", true)
+	f := &r.lineFields
+	b.At = f.duration("at_time_us", true)
 	b.Serial = f.uint("serial", 64, true)
 	b.Events = b.Events[:0]
 	return f.err
 }
 
-func (r *Reader) event(line []byte, b *Batch) error {
-	name, err := r.parts.split(line)
+func (r *Reader) readEvent(line []byte, b *Batch) error {
+	name, err := r.lineFields.split(line)
 	if err != nil {
 		return err
 	}
-	f := &r.parts
+	f := &r.lineFields
 	if string(name) == "sheet" {
-		return r.sheet()
+		return r.readSheet()
 	}
 	var e Event
 	switch string(name) {
 	case "attach":
-		e.Kind, e.Seed = Attach, f.uint("random_seed", 64, true)
+		e.Kind, e.Seed = EventAttach, f.uint("random_seed", 64, true)
 		e.Settings = f.settings("params")
 	case "exit":
-		e.Kind = Exit
+		e.Kind = EventExit
 	case "endpoints":
-		e.Kind = Endpoints
+		e.Kind = EventMembers
 		e.Mode = f.mode("mode")
 		if e.Mode != garnettide.ListFailed {
-			e.List = r.list()
+			e.List = r.referencedList()
 		}
 	case "inbound":
-		e.Kind = Inbound
-		e.Request = garnettide.Request{ID: garnettide.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
-			Class: r.name(f.text("class", true)), Tenant: r.name(f.text("org", false)), Key: f.hex("key", false),
-			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false)}
+		e.Kind = EventRequest
+		e.Request = garnettide.Request{ID: garnettide.RequestID(f.hex("id", true)), Budget: f.duration("budget_us", true),
+			Class: r.intern(f.text("class", true)), Tenant: r.intern(f.text("org", false)), Key: f.hex("key", false),
+			HasKey: f.has("key"), Retry: f.boolean("retry"), Cost: f.duration("cost_guess_us", false)}
 	case "established":
-		e.Kind = Established
+		e.Kind = EventResponseStarted
 		e.Outcome = f.outcome()
 	case "verdict":
-		e.Kind = Verdict
+		e.Kind = EventOutcome
 		e.Outcome = f.outcome()
-		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
+		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.boolean("over"), f.load("metrics")
 	case "lapsed":
-		e.Kind = Lapsed
+		e.Kind = EventClientGone
 		e.Request.ID = garnettide.RequestID(f.hex("id", true))
 	case "elapsed":
-		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
+		e.Kind, e.Token = EventTimer, f.uint("ctx", 63, true)
 	case "health":
-		e.Kind = Health
+		e.Kind = EventProbed
 		e.Probe = garnettide.ProbeResult{Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
-			Latency: f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
+			Latency: f.duration("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
 	case "inbox":
-		e.Kind = Inbox
+		e.Kind = EventMessage
 		f.uint("author", 31, true)
 	default:
 		return fmt.Errorf("unknown message %q", name)
@@ -195,129 +195,129 @@
 }
 
 // sheet reads a numbered list and its entries.
-func (r *Reader) sheet() error {
-	f := &r.parts
-	bank, n := f.uint("bank", 31, true), f.uint("items", 31, true)
-	if f.err == nil && bank >= banks {
+func (r *Reader) readSheet() error {
+	f := &r.lineFields
+	bank, items := f.uint("bank", 31, true), f.uint("items", 31, true)
+	if f.err == nil && bank >= bankCount {
 		f.fail("bank", "out of range")
 	}
 	if f.err != nil {
 		return fmt.Errorf("sheet: %w", f.err)
 	}
-	list := make([]garnettide.Upstream, 0, min(n, 1<<12))
-	for range n {
-		line, err := r.next()
+	list := make([]garnettide.Upstream, 0, min(items, 1<<12))
+	for range items {
+		line, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("sheet: items=%d, but %d follow: %w", n, len(list), err)
+			return fmt.Errorf("sheet: items=%d, but %d follow: %w", items, len(list), err)
 		}
 		name, err := f.split(line)
 		if err != nil {
 			return err
 		}
 		if string(name) != "m" {
-			return fmt.Errorf("sheet: items=%d, but %d follow", n, len(list))
+			return fmt.Errorf("sheet: items=%d, but %d follow", items, len(list))
 		}
 		u := garnettide.Upstream{ID: garnettide.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
-			Zone: r.name(f.text("region_part", false)), Weight: f.real("nominal", 1),
-			StartedAt: f.span("came_up_us", false), State: f.state("availability")}
+			Zone: r.intern(f.text("region_part", false)), Weight: f.real("nominal", 1),
+			StartedAt: f.duration("came_up_us", false), State: f.state("availability")}
 		if f.err != nil {
 			return fmt.Errorf("m: %w", f.err)
 		}
 		list = append(list, u)
 	}
-	r.lists[bank], r.known[bank] = list, true
+	r.lists[bank], r.received[bank] = list, true
 	return nil
 }
 
-func (r *Reader) list() []garnettide.Upstream {
-	bank := r.parts.uint("bank", 31, true)
-	if bank >= banks || !r.known[bank] {
-		r.parts.fail("bank", "no such list")
+func (r *Reader) referencedList() []garnettide.Upstream {
+	bank := r.lineFields.uint("bank", 31, true)
+	if bank >= bankCount || !r.received[bank] {
+		r.lineFields.fail("bank", "no such list")
 		return nil
 	}
 	return r.lists[bank]
 }
 
 // name returns b as a string, the same one each time, so that requests allocate none.
-func (r *Reader) name(b []byte) string {
+func (r *Reader) intern(b []byte) string {
 	if len(b) == 0 {
 		return ""
 	}
-	s, ok := r.names[string(b)]
+	s, ok := r.interned[string(b)]
 	if !ok {
 		s = string(b)
-		r.names[s] = s
+		r.interned[s] = s
 	}
 	return s
 }
 
 // fields holds the name=value parts of one line; the first error stays.
 type fields struct {
-	parts [][2][]byte
+	pairs [][2][]byte
 	err   error
 }
 
 // split takes a line apart and returns the message's name.
 func (f *fields) split(line []byte) ([]byte, error) {
-	f.parts, f.err = f.parts[:0], nil
+	f.pairs, f.err = f.pairs[:0], nil
 	name, rest, more := bytes.Cut(line, []byte{' '})
 	for more {
-		var part []byte
-		eq := bytes.IndexByte(rest, '=')
-		if eq > 0 && (string(rest[:eq]) == "params" || string(rest[:eq]) == "note_text") {
-			part, more = rest, false // text runs to the end of the line
+		var pair []byte
+		equals := bytes.IndexByte(rest, '=')
+		if equals > 0 && (string(rest[:equals]) == "params" || string(rest[:equals]) == "note_text") {
+			pair, more = rest, false // text runs to the end of the line
 		} else {
-			part, rest, more = bytes.Cut(rest, []byte{' '})
-			eq = bytes.IndexByte(part, '=')
+			pair, rest, more = bytes.Cut(rest, []byte{' '})
+			equals = bytes.IndexByte(pair, '=')
 		}
-		if eq <= 0 {
-			return nil, fmt.Errorf("%s: part %q is not name=value", name, part)
+		if equals <= 0 {
+			return nil, fmt.Errorf("%s: part %q is not name=value", name, pair)
 		}
-		f.parts = append(f.parts, [2][]byte{part[:eq], part[eq+1:]})
+		f.pairs = append(f.pairs, [2][]byte{pair[:equals], pair[equals+1:]})
 	}
 	return name, nil
 }
 
-func (f *fields) fail(name, why string) {
+func (f *fields) fail(name, reason string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s: %s", name, why)
+		f.err = fmt.Errorf("field %s: %s", name, reason)
 	}
 }
 
 func (f *fields) has(name string) bool {
-	for i := range f.parts {
-		if string(f.parts[i][0]) == name {
+	for i := range f.pairs {
+		if string(f.pairs[i][0]) == name {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *fields) text(name string, need bool) []byte {
-	for i := range f.parts {
-		if string(f.parts[i][0]) == name {
-			return f.parts[i][1]
+func (f *fields) text(name string, required bool) []byte {
+	for i := range f.pairs {
+		if string(f.pairs[i][0]) == name {
+			return f.pairs[i][1]
 		}
 	}
-	if need {
+	if required {
 		f.fail(name, "missing")
 	}
 	return nil
 }
 
-func (f *fields) uint(name string, bits int, need bool) uint64 {
-	v := f.text(name, need)
+func (f *fields) uint(name string, bits int, required bool) uint64 {
+	v := f.text(name, required)
 	if v == nil {
 		return 0
 	}
-	x, ok := digits(v)
+	x, ok := parseDigits(v)
 	if !ok || (bits < 64 && x>>bits != 0) {
 		f.fail(name, fmt.Sprintf("%q is not a number in range", v))
 	}
 	return x
 }
 
-func digits(v []byte) (uint64, bool) {
+func parseDigits(v []byte) (uint64, bool) {
 	if len(v) == 0 || len(v) > 20 {
 		return 0, false
 	}
@@ -336,8 +336,8 @@
 }
 
 // span reads a time in microseconds; it may be below zero.
-func (f *fields) span(name string, need bool) time.Duration {
-	v := f.text(name, need)
+func (f *fields) duration(name string, required bool) time.Duration {
+	v := f.text(name, required)
 	if v == nil {
 		return 0
 	}
@@ -345,7 +345,7 @@
 	if len(v) > 1 && v[0] == '-' {
 		sign, v = -1, v[1:]
 	}
-	x, ok := digits(v)
+	x, ok := parseDigits(v)
 	if !ok || x > math.MaxInt64/uint64(time.Microsecond) {
 		f.fail(name, fmt.Sprintf("%q is not a time", v))
 		return 0
@@ -353,8 +353,8 @@
 	return sign * time.Duration(x) * time.Microsecond
 }
 
-func (f *fields) hex(name string, need bool) uint64 {
-	v := f.text(name, need)
+func (f *fields) hex(name string, required bool) uint64 {
+	v := f.text(name, required)
 	if v == nil {
 		return 0
 	}
@@ -376,7 +376,7 @@
 	return x
 }
 
-func (f *fields) flag(name string) bool {
+func (f *fields) boolean(name string) bool {
 	v := f.text(name, false)
 	if v != nil && string(v) != "1" && string(v) != "0" {
 		f.fail(name, fmt.Sprintf("%q is not 1 or 0", v))
@@ -384,15 +384,15 @@
 	return string(v) == "1"
 }
 
-func (f *fields) real(name string, absent float64) float64 {
+func (f *fields) real(name string, defaultValue float64) float64 {
 	v := f.text(name, false)
 	if v == nil {
-		return absent
+		return defaultValue
 	}
-	return f.number(name, v)
+	return f.parseFloat(name, v)
 }
 
-func (f *fields) number(name string, v []byte) float64 {
+func (f *fields) parseFloat(name string, v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
 		f.fail(name, fmt.Sprintf("%q is not a number", v))
@@ -402,7 +402,7 @@
 
 func (f *fields) outcome() garnettide.Outcome {
 	return garnettide.Outcome{ID: garnettide.RequestID(f.hex("id", true)), Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
-		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true)}
+		Attempt: int(f.uint("go", 31, true)), Latency: f.duration("cost_time_us", true)}
 }
 
 func (f *fields) mode(name string) garnettide.ListMode {
@@ -462,34 +462,34 @@
 	var l garnettide.Load
 	rest := f.text(name, false)
 	for len(rest) > 0 {
-		var part []byte
-		part, rest, _ = bytes.Cut(rest, []byte{','})
-		key, v, ok := bytes.Cut(part, []byte{':'})
+		var pair []byte
+		pair, rest, _ = bytes.Cut(rest, []byte{','})
+		key, v, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
-			f.fail(name, fmt.Sprintf("%q is not name:value", part))
+			f.fail(name, fmt.Sprintf("%q is not name:value", pair))
 			return l
 		}
-		x := f.number(name, v)
-		SetLoad(&l, string(key), x)
+		x := f.parseFloat(name, v)
+		SetLoadValue(&l, string(key), x)
 	}
 	return l
 }
 
 // SetLoad puts one value of a load report into l, by its name in the settings or the short one that upstreams use.
 // Values of other names are passed over.
-func SetLoad(l *garnettide.Load, name string, x float64) {
+func SetLoadValue(l *garnettide.Load, name string, value float64) {
 	switch name {
 	case "load_share", "util":
-		l.Util, l.Fields = x, l.Fields|garnettide.HasUtil
+		l.Util, l.Fields = value, l.Fields|garnettide.HasUtil
 	case "concurrent", "inflight":
-		l.Inflight, l.Fields = x, l.Fields|garnettide.HasInflight
+		l.Inflight, l.Fields = value, l.Fields|garnettide.HasInflight
 	case "depth", "queue":
-		l.Queue, l.Fields = x, l.Fields|garnettide.HasQueue
+		l.Queue, l.Fields = value, l.Fields|garnettide.HasQueue
 	case "mean_ms", "latency_ms":
-		l.ServiceTime, l.Fields = x, l.Fields|garnettide.HasServiceTime
+		l.ServiceTime, l.Fields = value, l.Fields|garnettide.HasServiceTime
 	case "tps", "qps":
-		l.RequestRate, l.Fields = x, l.Fields|garnettide.HasRequestRate
+		l.RequestRate, l.Fields = value, l.Fields|garnettide.HasRequestRate
 	case "err_ps", "eps":
-		l.ErrorRate, l.Fields = x, l.Fields|garnettide.HasErrorRate
+		l.ErrorRate, l.Fields = value, l.Fields|garnettide.HasErrorRate
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,19 +10,19 @@
 )
 
 // params mirrors the settings that the module uses, but for the lists; other keys are ignored.
-type params struct {
-	Zone        string  `json:"az"`
-	Balancers   int     `json:"balancers"`
-	Rank        int     `json:"rank"`
-	Granularity int64   `json:"granularity_us"`
-	Mode        string  `json:"membership_mode"`
-	OverShare   float64 `json:"over_share_worth"`
-	Weights     string  `json:"weights"`
-	WorthBy     string  `json:"worth_by"`
-	Limits      struct {
+type settingsJSON struct {
+	Zone           string  `json:"az"`
+	Balancers      int     `json:"balancers"`
+	Rank           int     `json:"rank"`
+	Granularity    int64   `json:"granularity_us"`
+	MembershipMode string  `json:"membership_mode"`
+	OverQuota      float64 `json:"over_share_worth"`
+	Weights        string  `json:"weights"`
+	WorthBy        string  `json:"worth_by"`
+	Limits         struct {
 		Cancel         bool  `json:"cancel"`
 		ConnectTimeout int64 `json:"connect_timeout_us"`
-		KeepAlive      int64 `json:"keepalive_us"`
+		IdleTimeout    int64 `json:"keepalive_us"`
 		MaxAttempts    int   `json:"max_attempts"`
 		MaxRetryAfter  int64 `json:"max_retry_after_us"`
 		Probes         bool  `json:"probes"`
@@ -44,30 +44,30 @@
 }
 
 // profile mirrors an entry of the list of classes.
-type profile struct {
-	GiveUp      int64   `json:"give_up_us"`
-	DedupScope  string  `json:"group"`
-	LateWorth   float64 `json:"late_worth"`
-	DedupWindow int64   `json:"memory_span_us"`
-	Name        string  `json:"name"`
-	Idempotency string  `json:"repeat"`
-	Target      int64   `json:"target_us"`
-	Worth       float64 `json:"worth"`
+type classJSON struct {
+	TotalTimeout int64   `json:"give_up_us"`
+	DedupScope   string  `json:"group"`
+	LateWorth    float64 `json:"late_worth"`
+	DedupWindow  int64   `json:"memory_span_us"`
+	Name         string  `json:"name"`
+	Idempotency  string  `json:"repeat"`
+	Target       int64   `json:"target_us"`
+	Worth        float64 `json:"worth"`
 }
 
 var (
-	repeats = map[string]garnettide.Idempotency{"read_like": garnettide.Idempotent,
+	idempotencyByName = map[string]garnettide.Idempotency{"read_like": garnettide.Idempotent,
 		"idempotency_key": garnettide.IdempotentByKey, "non_idempotent": garnettide.NonIdempotent}
-	groups = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone,
+	dedupScopeByName = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone,
 		"cell": garnettide.DedupCell}
-	weigh = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
+	weightKindByName = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
 		"rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
-	vias = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone, "piggyback": garnettide.ReportInResponses,
+	reportModeByName = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone, "piggyback": garnettide.ReportInResponses,
 		"pull": garnettide.ReportInProbes}
-	asks = map[string]bool{"pushed": false, "on_request": true}
+	pollByMembershipMode = map[string]bool{"pushed": false, "on_request": true}
 )
 
-func us(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
+func microseconds(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
 
 // settings reads the JSON of a start message.
 func (f *fields) settings(name string) garnettide.Settings {
@@ -80,103 +80,103 @@
 
 // Links is what the settings say of connections to upstreams. The simulator keeps it to itself; a real balancer
 // has to act on it.
-type Links struct {
-	KeepAlive      time.Duration // an upstream closes a connection that has idled for so long
+type ConnTimeouts struct {
+	IdleTimeout    time.Duration // an upstream closes a connection that has idled for so long
 	ConnectTimeout time.Duration // a connection not up by then counts as failed
 }
 
 // DecodeSettings reads the settings object of a start message.
-func DecodeSettings(text []byte) (garnettide.Settings, Links, error) {
+func DecodeSettings(text []byte) (garnettide.Settings, ConnTimeouts, error) {
 	var classes []garnettide.Class
 	var tenants []garnettide.Tenant
 	d := NewDecoder(bytes.NewReader(text), func() {})
-	s, links, err := d.Settings(
+	s, timeouts, err := d.Settings(
 		func(c garnettide.Class) error { classes = append(classes, c); return nil },
 		func(t garnettide.Tenant) error { tenants = append(tenants, t); return nil })
 	if err != nil {
-		return s, links, err
+		return s, timeouts, err
 	}
 	if err := d.End(); err != nil {
-		return s, links, fmt.Errorf("settings: %w", err)
+		return s, timeouts, fmt.Errorf("settings: %w", err)
 	}
 	s.Classes, s.Tenants = classes, tenants
-	return s, links, nil
+	return s, timeouts, nil
 }
 
 // Settings reads the settings object of a start message or of a real balancer's configuration, but for the classes and
 // tenants: it hands these over as they come. An error names the setting.
-func (d *Decoder) Settings(class func(garnettide.Class) error, tenant func(garnettide.Tenant) error) (s garnettide.Settings,
-	links Links, err error) {
-	var p params
+func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (s garnettide.Settings,
+	timeouts ConnTimeouts, err error) {
+	var p settingsJSON
 	seen := map[string]bool{}
 	if err := d.Object(func(key string) error {
-		list := strings.ToLower(key)
-		entry := map[string]func() error{
-			"profiles": func() error { return d.class(class) },
-			"tenants":  func() error { return d.tenant(tenant) },
-		}[list]
-		if entry == nil {
+		listKey := strings.ToLower(key)
+		decodeElement := map[string]func() error{
+			"profiles": func() error { return d.addClass(addClass) },
+			"tenants":  func() error { return d.addTenant(addTenant) },
+		}[listKey]
+		if decodeElement == nil {
 			return d.Field(key, &p)
-		} else if seen[list] {
-			return fmt.Errorf("%s is there twice", list)
+		} else if seen[listKey] {
+			return fmt.Errorf("%s is there twice", listKey)
 		}
-		seen[list] = true
-		if err := d.List(func(int) error { return entry() }); err != nil {
-			return fmt.Errorf("%s: %w", list, err)
+		seen[listKey] = true
+		if err := d.Array(func(int) error { return decodeElement() }); err != nil {
+			return fmt.Errorf("%s: %w", listKey, err)
 		}
 		return nil
 	}); err != nil {
-		return s, links, fmt.Errorf("settings: %w", err)
+		return s, timeouts, fmt.Errorf("settings: %w", err)
 	}
-	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = p.Zone, p.Balancers, p.Rank, p.OverShare
-	s.WorthByWork, s.Granularity = p.WorthBy == "work", us(p.Granularity)
+	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = p.Zone, p.Balancers, p.Rank, p.OverQuota
+	s.WorthByWork, s.Granularity = p.WorthBy == "work", microseconds(p.Granularity)
 	s.Limits = garnettide.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
-		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
-	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: us(p.Requirements.MaxDiscoveryInterval),
-		ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: us(p.Requirements.WarmupTime),
-		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: us(p.Requirements.OverloadWindow),
-		DrainGrace:  us(p.Requirements.DrainGrace),
-		AnswerSlack: us(p.Requirements.Slack)}
-	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
+		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: microseconds(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
+	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: microseconds(p.Requirements.MaxDiscoveryInterval),
+		ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: microseconds(p.Requirements.WarmupTime),
+		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: microseconds(p.Requirements.OverloadWindow),
+		DrainGrace:  microseconds(p.Requirements.DrainGrace),
+		AnswerSlack: microseconds(p.Requirements.Slack)}
+	timeouts = ConnTimeouts{IdleTimeout: microseconds(p.Limits.IdleTimeout), ConnectTimeout: microseconds(p.Limits.ConnectTimeout)}
 	var ok bool
-	if s.PollDiscovery, ok = asks[p.Mode]; !ok {
-		return s, links, fmt.Errorf("settings: membership_mode %q is unknown", p.Mode)
+	if s.PollDiscovery, ok = pollByMembershipMode[p.MembershipMode]; !ok {
+		return s, timeouts, fmt.Errorf("settings: membership_mode %q is unknown", p.MembershipMode)
 	}
-	if s.Weights, ok = weigh[p.Weights]; !ok {
-		return s, links, fmt.Errorf("settings: weights %q is unknown", p.Weights)
+	if s.Weights, ok = weightKindByName[p.Weights]; !ok {
+		return s, timeouts, fmt.Errorf("settings: weights %q is unknown", p.Weights)
 	}
-	if s.Reports, ok = vias[p.Reporting.Via]; !ok {
-		return s, links, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
+	if s.Reports, ok = reportModeByName[p.Reporting.Via]; !ok {
+		return s, timeouts, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
 	}
-	return s, links, nil
+	return s, timeouts, nil
 }
 
 // class reads an entry of the list of classes.
-func (d *Decoder) class(add func(garnettide.Class) error) error {
-	var p profile
+func (d *Decoder) addClass(add func(garnettide.Class) error) error {
+	var p classJSON
 	if err := d.Decode(&p); err != nil {
-		return fmt.Errorf("%q: %w", p.Name, whole(err))
+		return fmt.Errorf("%q: %w", p.Name, unexpectedEOF(err))
 	}
-	c := garnettide.Class{Name: p.Name, LatencyTarget: us(p.Target), Deadline: us(p.GiveUp), DedupWindow: us(p.DedupWindow),
+	c := garnettide.Class{Name: p.Name, LatencyTarget: microseconds(p.Target), Deadline: microseconds(p.TotalTimeout), DedupWindow: microseconds(p.DedupWindow),
 		Worth: p.Worth, LateWorth: p.LateWorth}
 	var ok bool
-	if c.Idempotency, ok = repeats[p.Idempotency]; !ok {
+	if c.Idempotency, ok = idempotencyByName[p.Idempotency]; !ok {
 		return fmt.Errorf("%q: repeat %q is unknown", p.Name, p.Idempotency)
 	}
-	if c.DedupScope, ok = groups[p.DedupScope]; !ok && c.Idempotency == garnettide.IdempotentByKey {
+	if c.DedupScope, ok = dedupScopeByName[p.DedupScope]; !ok && c.Idempotency == garnettide.IdempotentByKey {
 		return fmt.Errorf("%q: group %q is unknown", p.Name, p.DedupScope)
 	}
 	return add(c)
 }
 
 // tenant reads an entry of the list of tenants.
-func (d *Decoder) tenant(add func(garnettide.Tenant) error) error {
+func (d *Decoder) addTenant(add func(garnettide.Tenant) error) error {
 	var t struct {
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_rps"`
 	}
 	if err := d.Decode(&t); err != nil {
-		return fmt.Errorf("%q: %w", t.Name, whole(err))
+		return fmt.Errorf("%q: %w", t.Name, unexpectedEOF(err))
 	}
 	return add(garnettide.Tenant{Name: t.Name, Quota: t.Quota})
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,13 +12,13 @@
 	"garnettide"
 )
 
-const startText = `{"az":"z1","balancers":2,"granularity_us":5000,"membership_mode":"pushed","weights":"nominal",` +
+const settingsText = `{"az":"z1","balancers":2,"granularity_us":5000,"membership_mode":"pushed","weights":"nominal",` +
 	`"worth_by":"work","limits":{"max_attempts":3,"cancel":true},"obligations":{"cold_from":0.3,"ramp_time_us":9000000,` +
 	`"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":250000,"give_up_us":750000,` +
 	`"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"},"unknown_key":{"x":[1,2]}}`
 
 // read returns the first error of a stream of batches, and the last batch.
-func read(text string) (Batch, error) {
+func readAll(text string) (Batch, error) {
 	r := NewReader(strings.NewReader(text))
 	var b Batch
 	for {
@@ -48,12 +48,12 @@
 		{"count too large", frame + "sheet bank=0 items=2\nm upstream=1 availability=active\neob\n", "items=2, but 1 follow"},
 		{"bank out of range", frame + "sheet bank=16 items=0\neob\n", "field bank"},
 		{"bad settings", frame + "attach balancer_id=1 random_seed=1 params={\neob\n", "field params"},
-		{"unknown repeat", frame + "attach balancer_id=1 random_seed=1 params=" + strings.Replace(startText, "non_idempotent", "never", 1) + "\neob\n", `repeat "never"`},
+		{"unknown repeat", frame + "attach balancer_id=1 random_seed=1 params=" + strings.Replace(settingsText, "non_idempotent", "never", 1) + "\neob\n", `repeat "never"`},
 		{"not a pair", frame + "exit balancer_id\neob\n", "not name=value"},
 		{"no end", frame + "exit balancer_id=1\n", "without eob"},
 		{"cut line", frame + "exit balan", "line 2: cut short"},
 	} {
-		if _, err := read(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
+		if _, err := readAll(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %q", c.name, err, c.want)
 		}
 	}
@@ -62,13 +62,13 @@
 func TestReadsEvents(t *testing.T) {
 	text := "frame at_time_us=8412250 serial=12\n" +
 		"sheet bank=0 items=1\nm block=2 region_part=z1 upstream=9 machine=k nominal=1.5 came_up_us=61 availability=leaving extra=1\n" +
-		"attach balancer_id=3 random_seed=5 params=" + startText + "\n" +
+		"attach balancer_id=3 random_seed=5 params=" + settingsText + "\n" +
 		"endpoints balancer_id=3 mode=C rev=41 bank=0\n" +
 		"sheet bank=0 items=0\n" +
 		"inbound balancer_id=3 id=912855b15d3a91c4 budget_us=240000 key=91f03b7c55d20a64 org=t class=c cost_guess_us=12000\n" +
 		"verdict balancer_id=3 id=912855b15d3a91c4 upstream=9 go=1 cost_time_us=18500 disposition=254 metrics=err_ps:0.5,load_share:0.62,odd:1\n" +
 		"eob\n"
-	b, err := read(text)
+	b, err := readAll(text)
 	if !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
@@ -76,13 +76,13 @@
 	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
 		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
 	}
-	q := garnettide.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
-	if b.Events[2].Request != q {
+	request := garnettide.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
+	if b.Events[2].Request != request {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
-	o := b.Events[3].Outcome
-	if o.Attempt != 1 || o.Status != garnettide.Rejected || o.RequestDone || o.Load.Util != 0.62 || o.Load.Fields != garnettide.HasUtil|garnettide.HasErrorRate {
-		t.Errorf("outcome %+v", o)
+	outcome := b.Events[3].Outcome
+	if outcome.Attempt != 1 || outcome.Status != garnettide.Rejected || outcome.RequestDone || outcome.Load.Util != 0.62 || outcome.Load.Fields != garnettide.HasUtil|garnettide.HasErrorRate {
+		t.Errorf("outcome %+v", outcome)
 	}
 	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != garnettide.NonIdempotent || s.Requirements.OverloadFactor != 3 {
 		t.Errorf("settings %+v", s)
@@ -92,7 +92,7 @@
 func TestWritesActions(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	p := NewPort(w, 3)
+	p := NewInstanceWriter(w, 3)
 	p.Send(0x912855b15d3a91c4, 51530247, 80*time.Millisecond, time.Second)
 	p.Send(1, 2, 0, 0)
 	p.Refuse(0xff, 250*time.Millisecond)
@@ -106,7 +106,7 @@
 	p.SetTimer(500*time.Millisecond, 77)
 	p.Log("two\nlines")
 	p.Crash("index out of range")
-	if err := w.Done(12); err != nil {
+	if err := w.EndReply(12); err != nil {
 		t.Fatal(err)
 	}
 	want := `submit_to balancer_id=3 id=912855b15d3a91c4 upstream=51530247 patience_us=80000
@@ -137,7 +137,7 @@
 		"", "\n", frame, frame + "eob\n", frame + "sheet bank=0 items=99999999\nm upstream=1 availability=active\neob\n",
 		frame + "sheet bank=3 items=1\nm block=4 region_part=z upstream=9 nominal=1e308 came_up_us=7 availability=left\n" +
 			"endpoints balancer_id=1 mode=D rev=1 bank=3\neob\n",
-		frame + "attach balancer_id=1 random_seed=1 params=" + startText + "\neob\n",
+		frame + "attach balancer_id=1 random_seed=1 params=" + settingsText + "\neob\n",
 		frame + "attach balancer_id=1 random_seed=1 params={\"profiles\":[{}],\"tenants\":null}\neob\n",
 		frame + "inbound balancer_id=1 id=00000000000000ff budget_us=-9223372036854775808 class=c cost_guess_us=-1\neob\n",
 		frame + "verdict balancer_id=1 id=00000000000000ff upstream=9 go=4294967295 cost_time_us=1 disposition=0 metrics=a:,b\neob\n",
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -20,7 +20,7 @@
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
 // Done ends the reply to a batch and writes it out.
-func (w *Writer) Done(serial uint64) error {
+func (w *Writer) EndReply(serial uint64) error {
 	w.buf = append(w.buf, "ok serial="...)
 	w.buf = strconv.AppendUint(w.buf, serial, 10)
 	w.buf = append(w.buf, '\n')
@@ -30,133 +30,133 @@
 }
 
 // Port writes the actions of one instance. It is that instance's Host.
-type Port struct {
-	w    *Writer
-	inst string
+type InstanceWriter struct {
+	reply         *Writer
+	instanceField string
 }
 
 // NewPort returns the Port of an instance.
-func NewPort(w *Writer, instance int) *Port {
-	return &Port{w: w, inst: " balancer_id=" + strconv.Itoa(instance)}
+func NewInstanceWriter(reply *Writer, instance int) *InstanceWriter {
+	return &InstanceWriter{reply: reply, instanceField: " balancer_id=" + strconv.Itoa(instance)}
 }
 
-var _ garnettide.Host = (*Port)(nil)
+var _ garnettide.Host = (*InstanceWriter)(nil)
 
-func (p *Port) open(name string) {
-	p.w.buf = append(p.w.buf, name...)
-	p.w.buf = append(p.w.buf, p.inst...)
+func (iw *InstanceWriter) beginAction(name string) {
+	iw.reply.buf = append(iw.reply.buf, name...)
+	iw.reply.buf = append(iw.reply.buf, iw.instanceField...)
 }
 
-func (p *Port) end() { p.w.buf = append(p.w.buf, '\n') }
+func (iw *InstanceWriter) endAction() { iw.reply.buf = append(iw.reply.buf, '\n') }
 
-func (p *Port) num(name string, x uint64) {
-	p.w.buf = append(p.w.buf, name...)
-	p.w.buf = strconv.AppendUint(p.w.buf, x, 10)
+func (iw *InstanceWriter) number(name string, x uint64) {
+	iw.reply.buf = append(iw.reply.buf, name...)
+	iw.reply.buf = strconv.AppendUint(iw.reply.buf, x, 10)
 }
 
-func (p *Port) span(name string, d time.Duration) {
+func (iw *InstanceWriter) duration(name string, d time.Duration) {
 	if d != 0 {
-		p.w.buf = append(p.w.buf, name...)
-		p.w.buf = strconv.AppendInt(p.w.buf, d.Microseconds(), 10)
+		iw.reply.buf = append(iw.reply.buf, name...)
+		iw.reply.buf = strconv.AppendInt(iw.reply.buf, d.Microseconds(), 10)
 	}
 }
 
-func (p *Port) id(id garnettide.RequestID) {
+func (iw *InstanceWriter) id(id garnettide.RequestID) {
 	var raw [8]byte
 	for i := range raw {
 		raw[i] = byte(id >> (56 - 8*i))
 	}
-	p.w.buf = append(p.w.buf, " id="...)
-	p.w.buf = hex.AppendEncode(p.w.buf, raw[:])
+	iw.reply.buf = append(iw.reply.buf, " id="...)
+	iw.reply.buf = hex.AppendEncode(iw.reply.buf, raw[:])
 }
 
 // text writes s as one line.
-func (p *Port) text(name, s string) {
-	p.w.buf = append(p.w.buf, name...)
-	p.w.buf = append(p.w.buf, strings.Join(strings.Fields(s), " ")...)
+func (iw *InstanceWriter) text(name, s string) {
+	iw.reply.buf = append(iw.reply.buf, name...)
+	iw.reply.buf = append(iw.reply.buf, strings.Join(strings.Fields(s), " ")...)
 }
 
 // Send writes an attempt. It is sent at once there, so no window is over by then.
-func (p *Port) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, _ time.Duration) {
-	p.open("submit_to")
-	p.id(id)
-	p.num(" upstream=", uint64(up))
-	p.span(" patience_us=", timeout)
-	p.end()
+func (iw *InstanceWriter) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, _ time.Duration) {
+	iw.beginAction("submit_to")
+	iw.id(id)
+	iw.number(" upstream=", uint64(up))
+	iw.duration(" patience_us=", timeout)
+	iw.endAction()
 }
 
 // Refuse writes a refusal.
-func (p *Port) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
-	p.open("bounce")
-	p.id(id)
-	p.span(" hold_off_us=", retryAfter)
-	p.end()
+func (iw *InstanceWriter) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
+	iw.beginAction("bounce")
+	iw.id(id)
+	iw.duration(" hold_off_us=", retryAfter)
+	iw.endAction()
 }
 
 // Fail writes a failure.
-func (p *Port) Fail(id garnettide.RequestID) {
-	p.open("report_failure")
-	p.id(id)
-	p.end()
+func (iw *InstanceWriter) Fail(id garnettide.RequestID) {
+	iw.beginAction("report_failure")
+	iw.id(id)
+	iw.endAction()
 }
 
 // Cancel writes the end of waiting for an attempt.
-func (p *Port) Cancel(id garnettide.RequestID, attempt int) {
-	p.open("withdraw")
-	p.id(id)
-	p.num(" go=", uint64(attempt))
-	p.end()
+func (iw *InstanceWriter) Cancel(id garnettide.RequestID, attempt int) {
+	iw.beginAction("withdraw")
+	iw.id(id)
+	iw.number(" go=", uint64(attempt))
+	iw.endAction()
 }
 
 // Probe writes a probe.
-func (p *Port) Probe(up garnettide.UpstreamID) {
-	p.open("ping")
-	p.num(" upstream=", uint64(up))
-	p.end()
+func (iw *InstanceWriter) Probe(up garnettide.UpstreamID) {
+	iw.beginAction("ping")
+	iw.number(" upstream=", uint64(up))
+	iw.endAction()
 }
 
 // Disconnect writes the closing of idle connections.
-func (p *Port) Disconnect(up garnettide.UpstreamID) {
-	p.open("disconnect")
-	p.num(" upstream=", uint64(up))
-	p.end()
+func (iw *InstanceWriter) Disconnect(up garnettide.UpstreamID) {
+	iw.beginAction("disconnect")
+	iw.number(" upstream=", uint64(up))
+	iw.endAction()
 }
 
 // Watch writes a subscription to discovery, or its end.
-func (p *Port) Watch(on bool) {
-	p.open("keep_informed")
+func (iw *InstanceWriter) Watch(on bool) {
+	iw.beginAction("keep_informed")
 	if on {
-		p.num(" active=", 1)
+		iw.number(" active=", 1)
 	} else {
-		p.num(" active=", 0)
+		iw.number(" active=", 0)
 	}
-	p.end()
+	iw.endAction()
 }
 
 // Fetch writes a call for the whole list.
-func (p *Port) Fetch() {
-	p.open("query_all")
-	p.end()
+func (iw *InstanceWriter) Fetch() {
+	iw.beginAction("query_all")
+	iw.endAction()
 }
 
 // SetTimer writes a timer.
-func (p *Port) SetTimer(after time.Duration, token uint64) {
-	p.open("timer")
-	p.num(" from_now_us=", uint64(max(after, 0).Microseconds()))
-	p.num(" ctx=", token)
-	p.end()
+func (iw *InstanceWriter) SetTimer(after time.Duration, token uint64) {
+	iw.beginAction("timer")
+	iw.number(" from_now_us=", uint64(max(after, 0).Microseconds()))
+	iw.number(" ctx=", token)
+	iw.endAction()
 }
 
 // Log writes a report line.
-func (p *Port) Log(text string) {
-	p.open("write_log")
-	p.text(" note_text=", text)
-	p.end()
+func (iw *InstanceWriter) Log(text string) {
+	iw.beginAction("write_log")
+	iw.text(" note_text=", text)
+	iw.endAction()
 }
 
 // Crash writes that the decision code has failed.
-func (p *Port) Crash(text string) {
-	p.open("crash")
-	p.text(" note_text=", text)
-	p.end()
+func (iw *InstanceWriter) Crash(text string) {
+	iw.beginAction("crash")
+	iw.text(" note_text=", text)
+	iw.endAction()
 }
