--- a/cmd/clayladder-sim/main.go
+++ b/cmd/clayladder-sim/main.go
@@ -1,5 +1,6 @@
-// Command clayladder-sim hosts instances of the decision module on the simulator's
-// wire, on standard input and output. It translates and decides nothing.
+// Command clayladder-sim connects the routing module to the simulator. It reads batches of events from
+// standard input, passes them to the balancer instances that they name, and writes their actions to
+// standard output.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// run answers batches until the end of input.
+// run replies to each batch until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
 	instances := map[int]*garnettide.Balancer{}
@@ -37,12 +38,13 @@
 			deliver(instances, writer, batch.At, &batch.Events[i])
 		}
 		if err := writer.EndReply(batch.Serial); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("writing the reply: %w", err)
 		}
 	}
 }
 
-// deliver hands one event to its instance; a panic ends the day with its text.
+// deliver passes an event to its instance. It ignores events for unknown instances. If the instance panics,
+// deliver removes it and writes a crash action with the panic's text.
 func deliver(instances map[int]*garnettide.Balancer, w *wire.Writer, now time.Duration, event *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/clayladder-sim/main_test.go
+++ b/cmd/clayladder-sim/main_test.go
@@ -11,6 +11,7 @@
 	`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":160000,` +
 	`"give_up_us":750000,"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"}}`
 
+// exchange returns the replies to a series of batches.
 func exchange(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -34,7 +35,7 @@
 		"ok serial=4\n"
 	got, err := exchange(t, in)
 	if err != nil || got != want {
-		t.Errorf("error %v, got\n%s", err, got)
+		t.Errorf("error %v, replies:\n%s", err, got)
 	}
 }
 
@@ -42,11 +43,12 @@
 	invalid := strings.Replace(settingsText, `"max_attempts":3`, `"max_attempts":0`, 1)
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+invalid+"\neob\n")
 	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=garnettide: invalid settings: Limits.MaxAttempts") {
-		t.Errorf("error %v, got %q", err, got)
+		t.Errorf("error %v, replies %q", err, got)
 	}
 }
 
-// A second attach starts the instance anew; events for one that is unknown or has exited do nothing.
+// TestRepeatedAttachAndUnknownInstances checks that a second attach replaces the instance, and that events
+// for unknown instances are ignored.
 func TestRepeatedAttachAndUnknownInstances(t *testing.T) {
 	attach := "attach balancer_id=3 random_seed=5 params=" + settingsText + "\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
 	in := "frame at_time_us=1000000 serial=1\nsheet bank=0 items=1\nm upstream=9 availability=active\n" + attach +
@@ -58,13 +60,13 @@
 	want := "timer balancer_id=3 from_now_us=10000 ctx=1\nsubmit_to balancer_id=3 id=912855b15d3a91c4 upstream=9\n" +
 		"ok serial=1\ntimer balancer_id=3 from_now_us=10000 ctx=1\nok serial=2\n"
 	if err != nil || got != want {
-		t.Errorf("error %v, got\n%s", err, got)
+		t.Errorf("error %v, replies:\n%s", err, got)
 	}
 }
 
 func TestMalformedInputGetsNoReply(t *testing.T) {
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nbogus balancer_id=1\neob\n")
 	if err == nil || got != "" {
-		t.Errorf("error %v, got %q", err, got)
+		t.Errorf("error %v, replies %q", err, got)
 	}
 }
--- a/cmd/olivearch/descriptors_test.go
+++ b/cmd/olivearch/descriptors_test.go
@@ -19,15 +19,16 @@
 	"time"
 )
 
-// fullOf has a program start with so many descriptors.
+// withDescriptorLimit returns a command that runs cmd with a limit on open file descriptors.
 func withDescriptorLimit(cmd *exec.Cmd, descriptors int) *exec.Cmd {
 	limited := exec.Command("/bin/sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$@"`, descriptors), "sh"}, cmd.Args...)...)
 	limited.Dir = cmd.Dir
 	return limited
 }
 
-// Idle clients fill the descriptors while discovery is down, and come again as soon as they are closed: when discovery is
-// back it is reached, its list is taken, and a request is served by what that names.
+// TestIdleClientsLeaveDescriptorsForDiscovery checks that clients that hold and reopen idle connections do
+// not use up the file descriptors: once discovery is up, the program calls it, applies its list, and sends
+// a request to the upstream in the list.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
 	const descriptors = 96
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -55,13 +56,14 @@
 		select {
 		case err := <-exited:
 			if err != nil {
-				t.Errorf("after SIGTERM: %v\n%s", err, log)
+				t.Errorf("exit after SIGTERM: %v\n%s", err, log)
 			}
 		case <-time.After(30 * time.Second):
 			cmd.Process.Kill()
-			t.Errorf("not ended in time: %v", <-exited)
+			t.Errorf("still running 30 s after SIGTERM: %v", <-exited)
 		}
 	}()
+	// statusOf returns the status of the response to a raw request, or 0 if there is none.
 	statusOf := func(request string) int {
 		c, err := net.DialTimeout("tcp", listen, time.Second)
 		if err != nil {
@@ -81,12 +83,12 @@
 		t.Helper()
 		for !condition() {
 			if ctx.Err() != nil {
-				t.Fatalf("never: %s", description)
+				t.Fatalf("timed out waiting for %s", description)
 			}
 		}
 	}
 	healthRequest := "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-	waitUntil("healthy", func() bool { return statusOf(healthRequest) == http.StatusOK })
+	waitUntil("a successful health check", func() bool { return statusOf(healthRequest) == http.StatusOK })
 
 	clientsCtx, stopClients := context.WithCancel(ctx)
 	var clients sync.WaitGroup
@@ -100,15 +102,15 @@
 				if err != nil {
 					continue
 				}
-				over := context.AfterFunc(clientsCtx, func() { c.Close() })
-				if i%2 == 0 { // the others say nothing
+				release := context.AfterFunc(clientsCtx, func() { c.Close() })
+				if i%2 == 0 { // the other half send nothing
 					io.WriteString(c, healthRequest)
 				}
 				if first {
 					connected <- struct{}{}
 				}
-				io.Copy(io.Discard, c) // until the balancer or the test closes it
-				over()
+				io.Copy(io.Discard, c) // until the program or the test closes the connection
+				release()
 				c.Close()
 			}
 		})
@@ -116,34 +118,34 @@
 	for range 2 * descriptors {
 		<-connected
 	}
-	l, err := net.Listen("tcp", discovery)
+	listener, err := net.Listen("tcp", discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
-	called, over := make(chan struct{}, 1000), make(chan struct{})
-	d := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		called <- struct{}{}
+	discoveryCalls, release := make(chan struct{}, 1000), make(chan struct{})
+	discoveryServer := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		discoveryCalls <- struct{}{}
 		if r.FormValue("since") == "2" {
-			<-over
+			<-release
 		}
 		fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"s-00000001","host_port":"%s","phase":"up","size":1}]}`,
 			upstream.Listener.Addr())
 	}))
-	d.Listener.Close()
-	d.Listener = l
-	d.Start()
-	defer d.Close()
-	defer close(over)
-	for range 2 { // the second call says that the list has been taken
+	discoveryServer.Listener.Close()
+	discoveryServer.Listener = listener
+	discoveryServer.Start()
+	defer discoveryServer.Close()
+	defer close(release)
+	for range 2 { // the second call shows that the list has been applied
 		select {
-		case <-called:
+		case <-discoveryCalls:
 		case <-ctx.Done():
-			t.Fatal("discovery is not reached")
+			t.Fatal("timed out waiting for a call of discovery")
 		}
 	}
-	n := 0
-	waitUntil("a request is served", func() bool {
-		n++
-		return statusOf(fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\nX-Class: c\r\nContent-Length: 0\r\n\r\n", n)) == http.StatusOK
+	requestID := 0
+	waitUntil("a successful request", func() bool {
+		requestID++
+		return statusOf(fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\nX-Class: c\r\nContent-Length: 0\r\n\r\n", requestID)) == http.StatusOK
 	})
 }
--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -1,6 +1,6 @@
-// Command olivearch is a load balancer for a fleet of HTTP servers. It is told what
-// to do by the RELAY_ environment variables, reads its configuration again on SIGHUP, and
-// ends in good order on SIGTERM.
+// Command olivearch is a load balancer for a fleet of HTTP servers. It is configured by a file, which
+// RELAY_CONFIG names, and by the other RELAY_ environment variables. It reloads its configuration on
+// SIGHUP, and shuts down gracefully on SIGTERM or SIGINT.
 package main
 
 import (
@@ -24,7 +24,7 @@
 }
 
 func run() error {
-	// Signals are caught before anything slow: one that comes during the start must not end the program.
+	// Signal handlers are installed first, so that a signal during the start does not kill the process.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
@@ -33,26 +33,28 @@
 	if err != nil {
 		return err
 	}
-	// The machine has one core. Collecting later costs memory, which the soft limit bounds, and saves time.
+	// The load balancer runs on one core. A higher GC target saves CPU time; the soft memory limit bounds
+	// the additional memory.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
 	memoryLimit := int64(config.MemoryMB) << 20 * 6 / 10
 	debug.SetMemoryLimit(memoryLimit)
-	config.Overlap = func(on bool) { // two processes have the memory of one
+	config.Overlap = func(on bool) { // the old and the new process share the memory limit
 		if on {
 			debug.SetMemoryLimit(memoryLimit / 2)
 		} else {
 			debug.SetMemoryLimit(memoryLimit)
 		}
 	}
-	name := config.Name // c is not held on to: it has the plan of the start
+	name := config.Name // copied, so that config and its plan can be freed
 	slog.Info("starting", "name", name, "listen", config.Listen, "known", len(config.Known.Members), "configuration", config.Hash)
 	listener, err := proxy.Listen(&config)
 	if err != nil {
 		return err
 	}
 	reloads := make(chan proxy.Reload)
-	followCtx, stopFollowing := context.WithCancel(context.Background()) // SIGTERM does not end it: what was taken is still answered
+	// Reloads continue after SIGTERM, while accepted requests are being answered.
+	followCtx, stopFollowing := context.WithCancel(context.Background())
 	defer stopFollowing()
 	go proxy.NewReloader(os.Getenv, config).Follow(followCtx, hangups, reloads)
 	if err := proxy.Run(ctx, config, listener, reloads); err != nil {
--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -20,6 +20,7 @@
 	"time"
 )
 
+// configFormat is a configuration. It takes the listen address and the address of discovery.
 const configFormat = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"az":"z1","balancers":1,"membership_mode":"on_request","weights":"nominal","worth_by":"work",
@@ -28,7 +29,8 @@
 "profiles":[{"name":"c","target_us":250000,"give_up_us":750000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}}`
 
-// program returns the command to start: the deployed one if RUN names it, from the root, or else one built here.
+// command returns the command that starts the load balancer: the one in the environment variable RUN, in
+// the repository's root, or else a program built by this function.
 func command(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("RUN"); run != "" {
@@ -38,12 +40,12 @@
 	}
 	path := filepath.Join(t.TempDir(), "olivearch")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("building olivearch: %v\n%s", err, out)
 	}
 	return exec.Command(path)
 }
 
-// free returns an address on which nothing listens.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,12 +56,13 @@
 	return l.Addr().String()
 }
 
-// TestSmoke starts the program, waits until it is healthy, sends SIGHUP with a bad and with a good configuration, and
-// ends it by SIGTERM. The first discovery is down, also in RELAY_DISCOVERY; the second must be asked.
+// TestSmoke starts the program, waits until it is healthy, reloads an invalid and a valid configuration by
+// SIGHUP, and stops it by SIGTERM. RELAY_DISCOVERY and the first configuration name an unreachable
+// discovery; after the reload, the program must call the discovery of the valid configuration.
 func TestSmoke(t *testing.T) {
 	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure := func(text string) {
+	writeConfig := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -69,7 +72,7 @@
 		}
 	}
 	unreachable := freeAddress(t)
-	configure(fmt.Sprintf(configFormat, listen, unreachable))
+	writeConfig(fmt.Sprintf(configFormat, listen, unreachable))
 	discoveryCalls := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		discoveryCalls <- r.URL.Path
@@ -109,48 +112,48 @@
 		}
 		select {
 		case err := <-exited:
-			t.Fatalf("ended early: %v\n%s", err, &log)
+			t.Fatalf("exited before it was healthy: %v\n%s", err, &log)
 		case <-timeout:
 			cmd.Process.Kill()
-			t.Fatalf("not healthy in time: %v", <-exited)
+			t.Fatalf("not healthy within 30 s: %v", <-exited)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	waitFor := func(description string, happened <-chan struct{}) {
+	waitFor := func(description string, event <-chan struct{}) {
 		t.Helper()
 		select {
-		case <-happened:
+		case <-event:
 		case err := <-exited:
-			t.Fatalf("ended before %s: %v\n%s", description, err, &log)
+			t.Fatalf("exited before %s: %v\n%s", description, err, &log)
 		case <-timeout:
 			cmd.Process.Kill()
-			t.Fatalf("%s: not in time: %v", description, <-exited)
+			t.Fatalf("timed out waiting for %s: %v", description, <-exited)
 		}
 	}
-	signal := func(s syscall.Signal) {
+	sendSignal := func(s syscall.Signal) {
 		t.Helper()
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	configure("{")
-	signal(syscall.SIGHUP)
-	waitFor("a bad configuration is logged", rejected)
-	configure(fmt.Sprintf(configFormat, listen, discovery.Listener.Addr()))
-	signal(syscall.SIGHUP)
+	writeConfig("{")
+	sendSignal(syscall.SIGHUP)
+	waitFor("the log line about the invalid configuration", rejected)
+	writeConfig(fmt.Sprintf(configFormat, listen, discovery.Listener.Addr()))
+	sendSignal(syscall.SIGHUP)
 	discoveryCalled := make(chan struct{})
 	go func() { <-discoveryCalls; close(discoveryCalled) }()
-	waitFor("the new discovery is asked", discoveryCalled)
-	waitFor("the log says which configuration is in force", applied)
-	signal(syscall.SIGTERM)
+	waitFor("a call of the new discovery", discoveryCalled)
+	waitFor("the log line about the configuration in force", applied)
+	sendSignal(syscall.SIGTERM)
 	select {
 	case err := <-exited:
 		if err != nil {
-			t.Errorf("after SIGTERM: %v\n%s", err, &log)
+			t.Errorf("exit after SIGTERM: %v\n%s", err, &log)
 		}
 	case <-timeout:
 		cmd.Process.Kill()
-		t.Fatalf("not ended in time: %v", <-exited)
+		t.Fatalf("still running 30 s after the start: %v", <-exited)
 	}
 }
 
@@ -159,11 +162,12 @@
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "RELAY_CONFIG") {
-		t.Errorf("got %v, %s", err, out)
+		t.Errorf("error %v, output: %s", err, out)
 	}
 }
 
-// A descriptor that is no listening socket must end the start: the process would be taken for one that serves.
+// TestInheritedDescriptorMustListen checks that the program exits if RELAY_INHERITED_FD is not a listening
+// socket. Otherwise a process that cannot accept connections would seem to be serving.
 func TestInheritedDescriptorMustListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, fmt.Appendf(nil, configFormat, freeAddress(t), freeAddress(t)), 0o600); err != nil {
@@ -179,41 +183,42 @@
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_INHERITED_FD=3")
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "RELAY_INHERITED_FD") {
-		t.Errorf("got %v, %s", err, out)
+		t.Errorf("error %v, output: %s", err, out)
 	}
 }
 
-// The fleet bench loads a library into the balancer: run has to end in one process of a dynamically linked program.
+// TestDeployedProgramIsDynamicallyLinked checks that the deployed program is dynamically linked and
+// replaces the shell that starts it. Tools that preload a shared library into the process depend on both.
 func TestDeployedProgramIsDynamicallyLinked(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	key := func(name string) string {
+	value := func(name string) string {
 		found := regexp.MustCompile(`(?m)^` + name + ` = "(.*)"$`).FindSubmatch(text)
 		if found == nil {
-			t.Fatalf("deploy/balancer.toml names no %s", name)
+			t.Fatalf("deploy/balancer.toml has no key %s", name)
 		}
 		return string(found[1])
 	}
-	build := exec.Command("/bin/sh", "-c", key("build"))
+	build := exec.Command("/bin/sh", "-c", value("build"))
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("running the deployed build command: %v\n%s", err, out)
 	}
-	path, ok := strings.CutPrefix(key("run"), "exec ")
+	path, ok := strings.CutPrefix(value("run"), "exec ")
 	if !ok || strings.ContainsAny(path, " ;&|") {
-		t.Fatalf("run does not end by exec in one program: %s", key("run"))
+		t.Fatalf("run does not exec a single program: %s", value("run"))
 	}
 	path = filepath.Join(root, path)
-	program, err := elf.Open(path)
+	binary, err := elf.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer program.Close()
+	defer binary.Close()
 	hasInterpreter := false
-	for _, p := range program.Progs {
+	for _, p := range binary.Progs {
 		hasInterpreter = hasInterpreter || p.Type == elf.PT_INTERP
 	}
 	info, err := buildinfo.ReadFile(path)
@@ -225,7 +230,7 @@
 		settings[s.Key] = s.Value
 	}
 	if !hasInterpreter || settings["CGO_ENABLED"] != "1" || !strings.Contains(settings["-ldflags"], "-linkmode=external") {
-		t.Errorf("the build has an ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s", hasInterpreter, settings["CGO_ENABLED"],
+		t.Errorf("ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s; want a dynamically linked program", hasInterpreter, settings["CGO_ENABLED"],
 			settings["-ldflags"])
 	}
 }
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,8 @@
-// Command scale runs fleets of hollow and real balancers on this machine and measures what control costs: slopes, one figure
-// varied at a time, and scenes. It uses loopback only and ends all processes that it has started.
+// Command scale measures the cost of the load balancer's control plane. It runs a fleet on this machine:
+// real balancers, which are processes of their own and serve clients, and hollow ones, which share
+// processes and have no clients. A slope varies one quantity, such as the number of upstreams, and a scene
+// plays a scenario, such as the loss of a zone. The command uses the loopback interface only and ends all
+// processes that it has started.
 package main
 
 import (
@@ -23,29 +26,29 @@
 func run() error {
 	slopes, scenes := scale.Names()
 	options := scale.Options{Log: os.Stderr}
-	role := pflag.String("role", "", "what this process is in a run: discovery or hollow; the run itself starts these")
-	jsonPath := pflag.String("json", "", "file for the results as JSON")
-	pflag.StringSliceVar(&options.Slopes, "slope", nil, "slopes to take: all, "+strings.Join(slopes, ", "))
-	pflag.BoolVar(&options.Within, "in-process", false, "slopes of one process, by calls; some three minutes")
-	pflag.StringSliceVar(&options.Scenes, "scene", nil, "scenes to play: all, "+strings.Join(scenes, ", "))
-	pflag.IntVar(&options.Size.Hollow, "balancers", 0, "hollow balancers in scenes and where slopes do not vary them (0: 24 in scenes)")
-	pflag.IntVar(&options.Size.Balancers, "fleet", 0, "balancers that the settings name (0: 950)")
-	pflag.IntVar(&options.Size.Real, "real", 8, "real balancers in scenes")
-	pflag.IntVar(&options.Size.Upstreams, "upstreams", 0, "upstreams that discovery lists (0: 14000 in scenes, 1000 in slopes)")
-	pflag.IntVar(&options.Size.Tenants, "tenants", 0, "tenants in the settings (0: 1000 in scenes, 100 in slopes)")
-	pflag.IntVar(&options.Size.Classes, "classes", 0, "classes in the settings (0: 20)")
-	pflag.IntVar(&options.Size.Machines, "machines", 0, "machines of discovery, 1 to 4 (0: 4)")
-	pflag.Float64Var(&options.Size.Rate, "rate", 0, "requests a second to all real balancers together (0: 240)")
-	pflag.DurationVar(&options.Size.Costs.Call, "call-cost", 0, "what a call to discovery takes of its machine, served in turn")
-	pflag.DurationVar(&options.Size.Costs.Entry, "entry-cost", 0, "and for each entry of its answer")
-	pflag.DurationVar(&options.For, "for", 10*time.Second, "length of a slope's phase and of a scene's play")
-	pflag.DurationVar(&options.Every, "every", 3*time.Second, "from one change of the settings to the next in the scene settings")
-	pflag.DurationVar(&options.Cut, "cut", 3*time.Minute, "how long the scene cut takes discovery away")
-	pflag.StringVar(&options.Program, "program", "", "the balancer's program (empty: it is built)")
-	pflag.StringVar(&options.Before, "before", "", "an older program of the balancer, for every second real one: before and after in one run")
-	soakSeeds := pflag.Int("soak", 0, "seeds of the soak of restarts to play, and nothing else")
-	firstSeed := pflag.Uint64("seed", 1, "the first seed of the soak")
-	parallelSeeds := pflag.Int("beside", 4, "seeds of the soak that are played at one time")
+	role := pflag.String("role", "", "role of a child process, discovery or hollow; set by the command itself")
+	jsonPath := pflag.String("json", "", "file to which to write the results as JSON")
+	pflag.StringSliceVar(&options.Slopes, "slope", nil, "slopes to measure: all, "+strings.Join(slopes, ", "))
+	pflag.BoolVar(&options.Within, "in-process", false, "measure the slopes of calls within one process; takes about three minutes")
+	pflag.StringSliceVar(&options.Scenes, "scene", nil, "scenes to run: all, "+strings.Join(scenes, ", "))
+	pflag.IntVar(&options.Size.Hollow, "balancers", 0, "number of hollow balancers in scenes, and in slopes that do not vary it (0: 24 in scenes)")
+	pflag.IntVar(&options.Size.Balancers, "fleet", 0, "number of balancers in the settings (0: 950)")
+	pflag.IntVar(&options.Size.Real, "real", 8, "number of real balancers in scenes")
+	pflag.IntVar(&options.Size.Upstreams, "upstreams", 0, "number of upstreams in the list of discovery (0: 14000 in scenes, 1000 in slopes)")
+	pflag.IntVar(&options.Size.Tenants, "tenants", 0, "number of tenants in the settings (0: 1000 in scenes, 100 in slopes)")
+	pflag.IntVar(&options.Size.Classes, "classes", 0, "number of classes in the settings (0: 20)")
+	pflag.IntVar(&options.Size.Machines, "machines", 0, "number of discovery servers, 1 to 4 (0: 4)")
+	pflag.Float64Var(&options.Size.Rate, "rate", 0, "requests per second, over all real balancers (0: 240)")
+	pflag.DurationVar(&options.Size.Costs.Call, "call-cost", 0, "time that a discovery server takes for each call; calls are served one at a time")
+	pflag.DurationVar(&options.Size.Costs.Entry, "entry-cost", 0, "additional time that a discovery server takes for each entry of its response")
+	pflag.DurationVar(&options.For, "for", 10*time.Second, "duration of each phase of a slope, and of the changes in the scene settings")
+	pflag.DurationVar(&options.Every, "every", 3*time.Second, "interval between changes of the settings in the scene settings")
+	pflag.DurationVar(&options.Cut, "cut", 3*time.Minute, "how long discovery is unavailable in the scene cut")
+	pflag.StringVar(&options.Program, "program", "", "path of the olivearch program (empty: build it)")
+	pflag.StringVar(&options.Before, "before", "", "path of an older olivearch program, run by every second real balancer for comparison")
+	soakSeeds := pflag.Int("soak", 0, "number of seeds for which to run the soak test of restarts, instead of slopes and scenes")
+	firstSeed := pflag.Uint64("seed", 1, "first seed of the soak test")
+	parallelSeeds := pflag.Int("beside", 4, "number of seeds of the soak test that run at the same time")
 	pflag.Parse()
 	if *role != "" {
 		return scale.ServeRole(*role)
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -11,11 +11,11 @@
 	"garnettide/internal/scale"
 )
 
-// A run of two hollow balancers and one real one plays a scene, writes its table and the same as JSON, and ends its processes.
+// TestRun checks that a run of a scene writes a table to standard output and its results to a JSON file.
 func TestRun(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "scale")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("building scale: %v\n%s", err, out)
 	}
 	path := filepath.Join(t.TempDir(), "run.json")
 	cmd := exec.Command(program, "--scene", "settings", "--balancers", "2", "--real", "1", "--fleet", "3", "--upstreams", "14", "--rate", "20",
@@ -33,22 +33,22 @@
 		t.Fatal(err)
 	}
 	if len(r.Scenes) != 1 || len(r.Scenes[0].Phases) != 2 {
-		t.Fatalf("scenes: %+v", r.Scenes)
+		t.Fatalf("got scenes %+v, want one scene with two phases", r.Scenes)
 	}
 	p := r.Scenes[0].Phases[1]
 	if p.Clients.Statuses["200"] == 0 || p.Spent.HollowCPU == 0 || p.Spent.RealRSS == 0 || r.MemoryMB == 0 {
-		t.Errorf("a figure is missing: %+v", p)
+		t.Errorf("a measured value is zero: %+v", p)
 	}
 	if !strings.Contains(string(out), "scene settings: 2 hollow and 1 real balancers, 14 upstreams") {
-		t.Errorf("no table:\n%s", out)
+		t.Errorf("no table of the scene in the output:\n%s", out)
 	}
 }
 
-// What is asked for wrongly is refused before anything starts.
+// TestBadFlags checks that invalid options are rejected before anything is started.
 func TestBadFlags(t *testing.T) {
 	for _, o := range []scale.Options{{Slopes: []string{"x"}, For: 1}, {Scenes: []string{"x"}, For: 1}, {}, {For: -1}} {
 		if r, err := scale.Start(o); err == nil || r != nil {
-			t.Errorf("%+v: %v", o, err)
+			t.Errorf("options %+v: error %v", o, err)
 		}
 	}
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -9,22 +9,25 @@
 	"strings"
 )
 
-// Decoder reads JSON a small part at a time: a list entry by entry, an object field by field. It means the same by a text as
-// json.Unmarshal does: names fit whatever their case, what is unknown is passed over, null leaves things as they are. Only a
-// list that is there twice is an error, since the entries of the first have been handed over by then.
+// Decoder decodes JSON incrementally: arrays element by element, and objects field by field. The result is
+// the same as that of json.Unmarshal: field names match regardless of case, unknown fields are ignored, and
+// null leaves a value unchanged. The one exception is that Settings rejects a repeated array, because it
+// has passed on the elements of the first by then.
 type Decoder struct {
 	*json.Decoder
-	yield func()
+	yield func() // see NewDecoder
 }
 
-// NewDecoder returns a Decoder of what r reads. It calls step after each small part.
+// NewDecoder returns a Decoder that reads from r. It calls yield after each element and field, and within
+// skipped values, so that a caller can pause during large inputs.
 func NewDecoder(r io.Reader, yield func()) *Decoder {
 	d := &Decoder{json.NewDecoder(r), yield}
-	d.UseNumber() // what is passed over may be any number
+	d.UseNumber() // an ignored number may be out of the range of float64
 	return d
 }
 
-// whole makes an end of the text within a value an error.
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, and other errors unchanged. It is for errors within
+// a value.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -32,7 +35,7 @@
 	return err
 }
 
-// begin reads the first token of an object or list, and tells whether there is one: null is none.
+// openDelim reads the opening delimiter of an object or array. It returns false if the value is null.
 func (d *Decoder) openDelim(delim json.Delim) (bool, error) {
 	token, err := d.Token()
 	if err != nil {
@@ -48,7 +51,7 @@
 	return false, fmt.Errorf("invalid character '%.1s' looking for '%v'", found, delim)
 }
 
-// Object reads an object. For each field it calls field, which has to read the value.
+// Object decodes an object or null. It calls decodeValue for each key; decodeValue must read the value.
 func (d *Decoder) Object(decodeValue func(key string) error) error {
 	present, err := d.openDelim('{')
 	if err != nil || !present {
@@ -68,7 +71,8 @@
 	return unexpectedEOF(err)
 }
 
-// List reads a list. For each entry, counted from 0, it calls entry, which has to read it.
+// Array decodes an array or null. It calls decodeElement with the index of each element; decodeElement must
+// read the element.
 func (d *Decoder) Array(decodeElement func(i int) error) error {
 	present, err := d.openDelim('[')
 	if err != nil || !present {
@@ -76,7 +80,7 @@
 	}
 	for i := 0; d.More(); i++ {
 		if err := decodeElement(i); err != nil {
-			return fmt.Errorf("entry %d: %w", i, err)
+			return fmt.Errorf("element %d: %w", i, err)
 		}
 		d.yield()
 	}
@@ -84,7 +88,8 @@
 	return unexpectedEOF(err)
 }
 
-// Field reads a small value into the field of to, a pointer to a struct, that has the name key, or passes it over.
+// Field decodes the value that follows key into the field of dst with this JSON name; dst is a pointer to a
+// struct. It skips the value if there is no such field. The value is held in memory as a whole.
 func (d *Decoder) Field(key string, dst any) error {
 	structType := reflect.TypeOf(dst).Elem()
 	for i := range structType.NumField() {
@@ -103,7 +108,7 @@
 	return d.skip()
 }
 
-// skip passes a value over, however large it is.
+// skip discards a value, without holding it in memory as a whole.
 func (d *Decoder) skip() error {
 	for depth := 0; ; {
 		token, err := d.Token()
@@ -123,10 +128,10 @@
 	}
 }
 
-// End reports what stands behind the value that has been read.
+// End returns an error unless only white space is left.
 func (d *Decoder) End() error {
 	if token, err := d.Token(); err == nil {
-		return fmt.Errorf("invalid character '%.1s' after the end", fmt.Sprint(token))
+		return fmt.Errorf("invalid character '%.1s' after top-level value", fmt.Sprint(token))
 	} else if !errors.Is(err, io.EOF) {
 		return err
 	}
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// mirror is what json.Unmarshal makes of settings at one go.
+// unmarshalledSettings is the settings object as decoded by json.Unmarshal.
 type unmarshalledSettings struct {
 	settingsJSON
 	Profiles []classJSON `json:"profiles"`
@@ -17,11 +17,12 @@
 	} `json:"tenants"`
 }
 
-// Read part by part, a text means what json.Unmarshal makes of it, or is no settings to either.
+// TestDecoderAgreesWithUnmarshal compares incremental decoding with json.Unmarshal: both accept the same
+// texts, with the same values.
 func TestDecoderAgreesWithUnmarshal(t *testing.T) {
 	replace := func(old, new string) string {
 		if !strings.Contains(settingsText, old) {
-			t.Fatalf("no %s", old)
+			t.Fatalf("settingsText does not contain %s", old)
 		}
 		return strings.Replace(settingsText, old, new, 1)
 	}
@@ -36,7 +37,7 @@
 		replace(`"reporting"`, `"tenants":null,"reporting"`), replace(`"reporting"`, `"tenants":[],"reporting"`),
 		replace(`"reporting"`, `"tenants":{},"reporting"`), replace(`"reporting"`, `"tenants":[{"name":"\ud83d\ude00","quota_rps":1e2}],"reporting"`),
 		replace(`"reporting"`, `"tenants":[[]],"reporting"`), replace(`"reporting"`, `"tenants":[{"name":"t"},{"quota_rps":3}],"reporting"`)}
-	for n := range len(settingsText) { // cut off anywhere
+	for n := range len(settingsText) { // truncated at each byte
 		texts = append(texts, settingsText[:n])
 	}
 	accepted := 0
@@ -50,7 +51,7 @@
 			allNonIdempotent = allNonIdempotent && p.Idempotency == "non_idempotent"
 		}
 		if valid := unmarshalErr == nil && knownMode && allNonIdempotent; valid != (err == nil) {
-			t.Errorf("%s: error %v, of json.Unmarshal %v", text, err, unmarshalErr)
+			t.Errorf("%s: error %v, but json.Unmarshal returned %v", text, err, unmarshalErr)
 		} else if !valid {
 			continue
 		}
@@ -72,16 +73,16 @@
 		want = append(want, fmt.Sprint(m.Zone, m.Balancers, m.Limits.MaxAttempts, m.Limits.Cancel, m.Requirements.ColdCapacity,
 			ConnTimeouts{microseconds(m.Limits.IdleTimeout), microseconds(m.Limits.ConnectTimeout)}))
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: reads as %v, want %v", text, got, want)
+			t.Errorf("%s: decoded as %v, want %v", text, got, want)
 		}
 	}
 	if accepted < 12 {
-		t.Errorf("only %d texts are settings", accepted)
+		t.Errorf("only %d texts were accepted, want at least 12", accepted)
 	}
 	for _, list := range []string{"profiles", "tenants"} {
 		text := strings.Replace(settingsText, `"reporting"`, `"`+list+`":[],"`+list+`":[],"reporting"`, 1)
-		if _, _, err := DecodeSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), list+" is there twice") {
-			t.Errorf("%s twice: %v", list, err)
+		if _, _, err := DecodeSettings([]byte(text)); err == nil || !strings.Contains(err.Error(), list+" is set twice") {
+			t.Errorf("repeated %s: error %v", list, err)
 		}
 	}
 }
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -1,5 +1,9 @@
-// Package wire speaks the text protocol between the simulator and its adapter:
-// batches of events in, one reply of actions each out. It decides nothing.
+// Package wire implements the text protocol between the simulator and its adapter. A Reader parses batches
+// of events, and a Writer writes one reply of actions to each batch. The package also decodes the JSON
+// settings of the simulator and of the load balancer's configuration.
+//
+// A message is one line: its name, followed by name=value fields that are separated by spaces. Unknown
+// fields are ignored.
 package wire
 
 import (
@@ -18,62 +22,63 @@
 // Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of events.
+// The kinds of events, with the names of their messages. Most correspond to a method of garnettide.Events.
 const (
-	EventAttach Kind = iota
-	EventExit
-	EventMembers
-	EventRequest
-	EventResponseStarted
-	EventOutcome
-	EventClientGone
-	EventTimer
-	EventProbed
-	EventMessage
+	EventAttach          Kind = iota // attach: an instance starts
+	EventExit                        // exit: an instance ends
+	EventMembers                     // endpoints
+	EventRequest                     // inbound
+	EventResponseStarted             // established
+	EventOutcome                     // verdict
+	EventClientGone                  // lapsed
+	EventTimer                       // elapsed
+	EventProbed                      // health
+	EventMessage                     // inbox: its content is dropped
 )
 
-// Event is one event for one instance. Kind tells which fields are set.
+// Event is one event for one instance. Kind tells which fields are set besides Kind and Instance.
 type Event struct {
 	Kind     Kind
 	Instance int
-	Seed     uint64
-	Settings garnettide.Settings
-	Mode     garnettide.ListMode
-	List     []garnettide.Upstream
-	Request  garnettide.Request
-	Outcome  garnettide.Outcome // also Established: ID, Upstream, Attempt, Latency
-	Probe    garnettide.ProbeResult
-	Token    uint64
+	Seed     uint64                 // EventAttach
+	Settings garnettide.Settings    // EventAttach
+	Mode     garnettide.ListMode    // EventMembers
+	List     []garnettide.Upstream  // EventMembers; nil if Mode is ListFailed
+	Request  garnettide.Request     // EventRequest; EventClientGone: ID only
+	Outcome  garnettide.Outcome     // EventOutcome; EventResponseStarted: ID, Upstream, Attempt and Latency only
+	Probe    garnettide.ProbeResult // EventProbed
+	Token    uint64                 // EventTimer: token of Host.SetTimer
 }
 
-// Batch is what happened at one moment.
+// Batch holds the events of one moment.
 type Batch struct {
-	At     time.Duration
-	Serial uint64
+	At     time.Duration // time on the simulator's clock
+	Serial uint64        // number of the batch, repeated in the reply
 	Events []Event
 }
 
-// banks is how many numbered lists the protocol has.
+// bankCount is the number of banks. A sheet message stores a list of upstreams in a bank, and endpoints
+// messages refer to it.
 const bankCount = 16
 
-// Reader reads batches.
+// Reader reads batches of events. It must not be used by several goroutines at once.
 type Reader struct {
 	in         *bufio.Reader
-	line       int
-	longLine   []byte
-	interned   map[string]string
+	line       int               // number of the last line read, from 1
+	longLine   []byte            // buffer for lines that exceed the buffer of in
+	interned   map[string]string // see intern
 	lists      [bankCount][]garnettide.Upstream
-	received   [bankCount]bool
-	lineFields fields
+	received   [bankCount]bool // banks that have been filled
+	lineFields fields          // fields of the current line
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, 1<<16), interned: map[string]string{}}
 }
 
-// Next reads a batch into b, whose events are overwritten. It returns io.EOF at the
-// end of input and an error that names line and field if the input is malformed.
+// Next reads a batch into b and overwrites its events. It returns io.EOF at the end of the input, and an
+// error that gives the line number and the cause if the input is malformed.
 func (r *Reader) Next(b *Batch) error {
 	line, err := r.readLine()
 	if err != nil {
@@ -99,7 +104,7 @@
 	}
 }
 
-// next returns the next line without its end. The slice holds until the next call.
+// readLine returns the next line without its newline. The slice is valid until the next call.
 func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -112,7 +117,7 @@
 	}
 	switch {
 	case errors.Is(err, io.EOF) && len(line) > 0:
-		return nil, fmt.Errorf("line %d: cut short", r.line+1)
+		return nil, fmt.Errorf("line %d: no newline at the end of the input", r.line+1)
 	case errors.Is(err, io.EOF):
 		return nil, io.EOF
 	case err != nil:
@@ -122,13 +127,14 @@
 	return line[:len(line)-1], nil
 }
 
+// readFrame parses a frame message, which begins a batch.
 func (r *Reader) readFrame(line []byte, b *Batch) error {
 	name, err := r.lineFields.split(line)
 	if err != nil {
 		return err
 	}
 	if string(name) != "frame" {
-		return fmt.Errorf("message %q where frame was expected", name)
+		return fmt.Errorf("unexpected message %q, want frame", name)
 	}
 	f := &r.lineFields
 	b.At = f.duration("at_time_us", true)
@@ -137,6 +143,7 @@
 	return f.err
 }
 
+// readEvent parses a message within a batch. It appends an event to b, unless the message is a sheet.
 func (r *Reader) readEvent(line []byte, b *Batch) error {
 	name, err := r.lineFields.split(line)
 	if err != nil {
@@ -194,7 +201,8 @@
 	return nil
 }
 
-// sheet reads a numbered list and its entries.
+// readSheet stores a list of upstreams in a bank. The current line is the sheet message; the m messages of
+// its upstreams follow.
 func (r *Reader) readSheet() error {
 	f := &r.lineFields
 	bank, items := f.uint("bank", 31, true), f.uint("items", 31, true)
@@ -208,14 +216,14 @@
 	for range items {
 		line, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("sheet: items=%d, but %d follow: %w", items, len(list), err)
+			return fmt.Errorf("sheet: items=%d, but only %d entries follow: %w", items, len(list), err)
 		}
 		name, err := f.split(line)
 		if err != nil {
 			return err
 		}
 		if string(name) != "m" {
-			return fmt.Errorf("sheet: items=%d, but %d follow", items, len(list))
+			return fmt.Errorf("sheet: items=%d, but only %d entries follow", items, len(list))
 		}
 		u := garnettide.Upstream{ID: garnettide.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
 			Zone: r.intern(f.text("region_part", false)), Weight: f.real("nominal", 1),
@@ -229,16 +237,18 @@
 	return nil
 }
 
+// referencedList returns the list of the bank that the current line names. Lists are never modified once
+// stored.
 func (r *Reader) referencedList() []garnettide.Upstream {
 	bank := r.lineFields.uint("bank", 31, true)
 	if bank >= bankCount || !r.received[bank] {
-		r.lineFields.fail("bank", "no such list")
+		r.lineFields.fail("bank", "no list has been stored in this bank")
 		return nil
 	}
 	return r.lists[bank]
 }
 
-// name returns b as a string, the same one each time, so that requests allocate none.
+// intern returns b as a string. It allocates only the first time that it sees a value.
 func (r *Reader) intern(b []byte) string {
 	if len(b) == 0 {
 		return ""
@@ -251,13 +261,15 @@
 	return s
 }
 
-// fields holds the name=value parts of one line; the first error stays.
+// fields holds the name=value fields of one line. Its methods record an error if a field is invalid, or
+// absent although it is required; their result must not be used then. Absent optional fields are zero
+// unless stated otherwise.
 type fields struct {
-	pairs [][2][]byte
-	err   error
+	pairs [][2][]byte // names and values
+	err   error       // the first error since split
 }
 
-// split takes a line apart and returns the message's name.
+// split parses a line and returns the name of the message.
 func (f *fields) split(line []byte) ([]byte, error) {
 	f.pairs, f.err = f.pairs[:0], nil
 	name, rest, more := bytes.Cut(line, []byte{' '})
@@ -265,25 +277,27 @@
 		var pair []byte
 		equals := bytes.IndexByte(rest, '=')
 		if equals > 0 && (string(rest[:equals]) == "params" || string(rest[:equals]) == "note_text") {
-			pair, more = rest, false // text runs to the end of the line
+			pair, more = rest, false // free text extends to the end of the line
 		} else {
 			pair, rest, more = bytes.Cut(rest, []byte{' '})
 			equals = bytes.IndexByte(pair, '=')
 		}
 		if equals <= 0 {
-			return nil, fmt.Errorf("%s: part %q is not name=value", name, pair)
+			return nil, fmt.Errorf("%s: field %q is not name=value", name, pair)
 		}
 		f.pairs = append(f.pairs, [2][]byte{pair[:equals], pair[equals+1:]})
 	}
 	return name, nil
 }
 
+// fail records an error about a field, unless there is an earlier one.
 func (f *fields) fail(name, reason string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %s", name, reason)
 	}
 }
 
+// has reports whether the line has a field of this name.
 func (f *fields) has(name string) bool {
 	for i := range f.pairs {
 		if string(f.pairs[i][0]) == name {
@@ -293,6 +307,7 @@
 	return false
 }
 
+// text returns the value of a field, or nil if the field is absent.
 func (f *fields) text(name string, required bool) []byte {
 	for i := range f.pairs {
 		if string(f.pairs[i][0]) == name {
@@ -305,6 +320,7 @@
 	return nil
 }
 
+// uint returns an unsigned decimal number of at most the given number of bits.
 func (f *fields) uint(name string, bits int, required bool) uint64 {
 	v := f.text(name, required)
 	if v == nil {
@@ -317,6 +333,7 @@
 	return x
 }
 
+// parseDigits parses an unsigned decimal number. It allocates nothing for numbers of up to 18 digits.
 func parseDigits(v []byte) (uint64, bool) {
 	if len(v) == 0 || len(v) > 20 {
 		return 0, false
@@ -335,7 +352,7 @@
 	return x, true
 }
 
-// span reads a time in microseconds; it may be below zero.
+// duration returns a time that is given in microseconds and may be negative.
 func (f *fields) duration(name string, required bool) time.Duration {
 	v := f.text(name, required)
 	if v == nil {
@@ -347,12 +364,13 @@
 	}
 	x, ok := parseDigits(v)
 	if !ok || x > math.MaxInt64/uint64(time.Microsecond) {
-		f.fail(name, fmt.Sprintf("%q is not a time", v))
+		f.fail(name, fmt.Sprintf("%q is not a time in microseconds", v))
 		return 0
 	}
 	return sign * time.Duration(x) * time.Microsecond
 }
 
+// hex returns a number of 16 lower-case hexadecimal digits.
 func (f *fields) hex(name string, required bool) uint64 {
 	v := f.text(name, required)
 	if v == nil {
@@ -371,11 +389,12 @@
 		}
 	}
 	if !ok {
-		f.fail(name, fmt.Sprintf("%q is not 16 hex digits", v))
+		f.fail(name, fmt.Sprintf("%q is not 16 hexadecimal digits", v))
 	}
 	return x
 }
 
+// boolean returns true for 1, and false for 0 or if the field is absent.
 func (f *fields) boolean(name string) bool {
 	v := f.text(name, false)
 	if v != nil && string(v) != "1" && string(v) != "0" {
@@ -384,6 +403,7 @@
 	return string(v) == "1"
 }
 
+// real returns a floating-point number, or defaultValue if the field is absent.
 func (f *fields) real(name string, defaultValue float64) float64 {
 	v := f.text(name, false)
 	if v == nil {
@@ -392,19 +412,22 @@
 	return f.parseFloat(name, v)
 }
 
+// parseFloat parses a finite floating-point number and records an error under the name of a field.
 func (f *fields) parseFloat(name string, v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.fail(name, fmt.Sprintf("%q is not a number", v))
+		f.fail(name, fmt.Sprintf("%q is not a finite number", v))
 	}
 	return x
 }
 
+// outcome returns the fields that established and verdict messages have in common.
 func (f *fields) outcome() garnettide.Outcome {
 	return garnettide.Outcome{ID: garnettide.RequestID(f.hex("id", true)), Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
 		Attempt: int(f.uint("go", 31, true)), Latency: f.duration("cost_time_us", true)}
 }
 
+// mode returns a list mode.
 func (f *fields) mode(name string) garnettide.ListMode {
 	switch string(f.text(name, true)) {
 	case "D":
@@ -420,6 +443,7 @@
 	return 0
 }
 
+// state returns the state of an upstream.
 func (f *fields) state(name string) garnettide.State {
 	switch string(f.text(name, true)) {
 	case "active":
@@ -429,10 +453,11 @@
 	case "left":
 		return garnettide.Removed
 	}
-	f.fail(name, "unknown state")
+	f.fail(name, "unknown upstream state")
 	return 0
 }
 
+// status returns the status of an attempt or a probe.
 func (f *fields) status(name string) garnettide.Status {
 	switch x := f.uint(name, 31, true); x {
 	case 0:
@@ -457,7 +482,7 @@
 	}
 }
 
-// load reads a report: name:value pairs. Values of other names are passed over.
+// load returns a load report of name:value pairs that are separated by commas. Unknown names are ignored.
 func (f *fields) load(name string) garnettide.Load {
 	var l garnettide.Load
 	rest := f.text(name, false)
@@ -475,8 +500,8 @@
 	return l
 }
 
-// SetLoad puts one value of a load report into l, by its name in the settings or the short one that upstreams use.
-// Values of other names are passed over.
+// SetLoadValue sets one value of a load report. The name is the simulator's or that of the X-Load header;
+// unknown names are ignored.
 func SetLoadValue(l *garnettide.Load, name string, value float64) {
 	switch name {
 	case "load_share", "util":
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,8 @@
 	"garnettide"
 )
 
-// params mirrors the settings that the module uses, but for the lists; other keys are ignored.
+// settingsJSON is the settings object without the arrays profiles and tenants. Field reads it, and ignores
+// other keys.
 type settingsJSON struct {
 	Zone           string  `json:"az"`
 	Balancers      int     `json:"balancers"`
@@ -43,7 +44,7 @@
 	} `json:"reporting"`
 }
 
-// profile mirrors an entry of the list of classes.
+// classJSON is an element of the array profiles.
 type classJSON struct {
 	TotalTimeout int64   `json:"give_up_us"`
 	DedupScope   string  `json:"group"`
@@ -55,6 +56,7 @@
 	Worth        float64 `json:"worth"`
 }
 
+// Values of settings by their JSON names.
 var (
 	idempotencyByName = map[string]garnettide.Idempotency{"read_like": garnettide.Idempotent,
 		"idempotency_key": garnettide.IdempotentByKey, "non_idempotent": garnettide.NonIdempotent}
@@ -67,9 +69,10 @@
 	pollByMembershipMode = map[string]bool{"pushed": false, "on_request": true}
 )
 
+// microseconds returns a duration of x microseconds.
 func microseconds(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
 
-// settings reads the JSON of a start message.
+// settings decodes the settings in a field of an attach message.
 func (f *fields) settings(name string) garnettide.Settings {
 	s, _, err := DecodeSettings(f.text(name, true))
 	if err != nil {
@@ -78,14 +81,14 @@
 	return s
 }
 
-// Links is what the settings say of connections to upstreams. The simulator keeps it to itself; a real balancer
-// has to act on it.
+// ConnTimeouts holds the timeouts of connections to upstreams. The simulator applies them itself; the load
+// balancer has to apply them to its connections.
 type ConnTimeouts struct {
-	IdleTimeout    time.Duration // an upstream closes a connection that has idled for so long
-	ConnectTimeout time.Duration // a connection not up by then counts as failed
+	IdleTimeout    time.Duration // upstreams close a connection that has been idle for this long
+	ConnectTimeout time.Duration // a connection that is not established within this time has failed
 }
 
-// DecodeSettings reads the settings object of a start message.
+// DecodeSettings decodes the settings object of an attach message. An error about a setting names it.
 func DecodeSettings(text []byte) (garnettide.Settings, ConnTimeouts, error) {
 	var classes []garnettide.Class
 	var tenants []garnettide.Tenant
@@ -103,8 +106,9 @@
 	return s, timeouts, nil
 }
 
-// Settings reads the settings object of a start message or of a real balancer's configuration, but for the classes and
-// tenants: it hands these over as they come. An error names the setting.
+// Settings decodes the settings object of an attach message or of a load balancer's configuration. It
+// passes each class and tenant to addClass and addTenant instead of returning them in s. An error about a
+// setting names it.
 func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (s garnettide.Settings,
 	timeouts ConnTimeouts, err error) {
 	var p settingsJSON
@@ -118,7 +122,7 @@
 		if decodeElement == nil {
 			return d.Field(key, &p)
 		} else if seen[listKey] {
-			return fmt.Errorf("%s is there twice", listKey)
+			return fmt.Errorf("%s is set twice", listKey)
 		}
 		seen[listKey] = true
 		if err := d.Array(func(int) error { return decodeElement() }); err != nil {
@@ -140,18 +144,18 @@
 	timeouts = ConnTimeouts{IdleTimeout: microseconds(p.Limits.IdleTimeout), ConnectTimeout: microseconds(p.Limits.ConnectTimeout)}
 	var ok bool
 	if s.PollDiscovery, ok = pollByMembershipMode[p.MembershipMode]; !ok {
-		return s, timeouts, fmt.Errorf("settings: membership_mode %q is unknown", p.MembershipMode)
+		return s, timeouts, fmt.Errorf("settings: membership_mode: unknown value %q", p.MembershipMode)
 	}
 	if s.Weights, ok = weightKindByName[p.Weights]; !ok {
-		return s, timeouts, fmt.Errorf("settings: weights %q is unknown", p.Weights)
+		return s, timeouts, fmt.Errorf("settings: weights: unknown value %q", p.Weights)
 	}
 	if s.Reports, ok = reportModeByName[p.Reporting.Via]; !ok {
-		return s, timeouts, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
+		return s, timeouts, fmt.Errorf("settings: reporting.via: unknown value %q", p.Reporting.Via)
 	}
 	return s, timeouts, nil
 }
 
-// class reads an entry of the list of classes.
+// addClass decodes an element of the array profiles and passes it to add.
 func (d *Decoder) addClass(add func(garnettide.Class) error) error {
 	var p classJSON
 	if err := d.Decode(&p); err != nil {
@@ -161,15 +165,15 @@
 		Worth: p.Worth, LateWorth: p.LateWorth}
 	var ok bool
 	if c.Idempotency, ok = idempotencyByName[p.Idempotency]; !ok {
-		return fmt.Errorf("%q: repeat %q is unknown", p.Name, p.Idempotency)
+		return fmt.Errorf("%q: repeat: unknown value %q", p.Name, p.Idempotency)
 	}
 	if c.DedupScope, ok = dedupScopeByName[p.DedupScope]; !ok && c.Idempotency == garnettide.IdempotentByKey {
-		return fmt.Errorf("%q: group %q is unknown", p.Name, p.DedupScope)
+		return fmt.Errorf("%q: group: unknown value %q", p.Name, p.DedupScope)
 	}
 	return add(c)
 }
 
-// tenant reads an entry of the list of tenants.
+// addTenant decodes an element of the array tenants and passes it to add.
 func (d *Decoder) addTenant(add func(garnettide.Tenant) error) error {
 	var t struct {
 		Name  string  `json:"name"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,7 +17,7 @@
 	`"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":250000,"give_up_us":750000,` +
 	`"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"},"unknown_key":{"x":[1,2]}}`
 
-// read returns the first error of a stream of batches, and the last batch.
+// readAll reads batches until an error, and returns the last batch and the error.
 func readAll(text string) (Batch, error) {
 	r := NewReader(strings.NewReader(text))
 	var b Batch
@@ -32,26 +32,26 @@
 	frame := "frame at_time_us=10 serial=1\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown message", frame + "bogus balancer_id=1\neob\n", `line 2: unknown message "bogus"`},
-		{"no frame", "eob\n", "line 1"},
-		{"frame without serial", "frame at_time_us=10\neob\n", "serial: missing"},
+		{"missing frame", "eob\n", "line 1"},
+		{"missing serial", "frame at_time_us=10\neob\n", "serial: missing"},
 		{"missing id", frame + "lapsed balancer_id=1\neob\n", "line 2: lapsed: field id: missing"},
-		{"missing instance", frame + "elapsed ctx=1\neob\n", "field balancer_id: missing"},
-		{"bad id", frame + "lapsed balancer_id=1 id=12\neob\n", "field id: \"12\" is not 16 hex digits"},
-		{"bad number", frame + "elapsed balancer_id=1 ctx=x\neob\n", "field ctx"},
+		{"missing balancer_id", frame + "elapsed ctx=1\neob\n", "field balancer_id: missing"},
+		{"invalid id", frame + "lapsed balancer_id=1 id=12\neob\n", "field id: \"12\" is not 16 hexadecimal digits"},
+		{"invalid number", frame + "elapsed balancer_id=1 ctx=x\neob\n", "field ctx"},
 		{"number out of range", frame + "elapsed balancer_id=1 ctx=9223372036854775808\neob\n", "field ctx"},
-		{"bad flag", frame + "inbound balancer_id=1 id=00000000000000ff budget_us=1 class=c retry=2\neob\n", "field retry"},
-		{"bad status", frame + "health balancer_id=1 upstream=1 disposition=7 cost_time_us=1\neob\n", "unknown status 7"},
-		{"bad report", frame + "health balancer_id=1 upstream=1 disposition=0 cost_time_us=1 metrics=load_share\neob\n", "field metrics"},
-		{"bad mode", frame + "endpoints balancer_id=1 mode=Q rev=1 bank=0\neob\n", "field mode"},
-		{"no such list", frame + "endpoints balancer_id=1 mode=F rev=1 bank=3\neob\n", "field bank"},
-		{"bad state", frame + "sheet bank=0 items=1\nm upstream=1 availability=up\neob\n", "line 3: m: field availability"},
-		{"count too large", frame + "sheet bank=0 items=2\nm upstream=1 availability=active\neob\n", "items=2, but 1 follow"},
+		{"invalid boolean", frame + "inbound balancer_id=1 id=00000000000000ff budget_us=1 class=c retry=2\neob\n", "field retry"},
+		{"unknown status", frame + "health balancer_id=1 upstream=1 disposition=7 cost_time_us=1\neob\n", "unknown status 7"},
+		{"invalid load report", frame + "health balancer_id=1 upstream=1 disposition=0 cost_time_us=1 metrics=load_share\neob\n", "field metrics"},
+		{"unknown list mode", frame + "endpoints balancer_id=1 mode=Q rev=1 bank=0\neob\n", "field mode"},
+		{"empty bank", frame + "endpoints balancer_id=1 mode=F rev=1 bank=3\neob\n", "field bank"},
+		{"unknown upstream state", frame + "sheet bank=0 items=1\nm upstream=1 availability=up\neob\n", "line 3: m: field availability"},
+		{"fewer entries than items", frame + "sheet bank=0 items=2\nm upstream=1 availability=active\neob\n", "items=2, but only 1 entries follow"},
 		{"bank out of range", frame + "sheet bank=16 items=0\neob\n", "field bank"},
-		{"bad settings", frame + "attach balancer_id=1 random_seed=1 params={\neob\n", "field params"},
-		{"unknown repeat", frame + "attach balancer_id=1 random_seed=1 params=" + strings.Replace(settingsText, "non_idempotent", "never", 1) + "\neob\n", `repeat "never"`},
-		{"not a pair", frame + "exit balancer_id\neob\n", "not name=value"},
-		{"no end", frame + "exit balancer_id=1\n", "without eob"},
-		{"cut line", frame + "exit balan", "line 2: cut short"},
+		{"invalid settings", frame + "attach balancer_id=1 random_seed=1 params={\neob\n", "field params"},
+		{"unknown repeat", frame + "attach balancer_id=1 random_seed=1 params=" + strings.Replace(settingsText, "non_idempotent", "never", 1) + "\neob\n", `repeat: unknown value "never"`},
+		{"field without value", frame + "exit balancer_id\neob\n", "not name=value"},
+		{"missing eob", frame + "exit balancer_id=1\n", "without eob"},
+		{"truncated line", frame + "exit balan", "line 2: no newline at the end of the input"},
 	} {
 		if _, err := readAll(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %q", c.name, err, c.want)
@@ -74,7 +74,7 @@
 	}
 	want := "[{ID:9 Zone:z1 Cell:2 Weight:1.5 StartedAt:61µs State:1}]"
 	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
-		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
+		t.Errorf("list %s, want %s, the content of the bank when the event was read", got, want)
 	}
 	request := garnettide.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
 	if b.Events[2].Request != request {
@@ -129,8 +129,8 @@
 	}
 }
 
-// Whatever comes in, the reader gives batches or an error that names a line, and never panics. The cases run in
-// every test run; `go test -fuzz FuzzReader ./internal/wire` looks for more.
+// FuzzReader checks that a Reader returns batches or an error with a line number for any input, and never
+// panics.
 func FuzzReader(f *testing.F) {
 	frame := "frame at_time_us=10 serial=1\n"
 	for _, text := range []string{
@@ -155,7 +155,7 @@
 			}
 			if err != nil {
 				if !strings.HasPrefix(err.Error(), "line ") {
-					t.Errorf("error %q names no line", err)
+					t.Errorf("error %q does not start with a line number", err)
 				}
 				return
 			}
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -10,16 +10,16 @@
 	"garnettide"
 )
 
-// Writer gathers the actions of one reply.
+// Writer collects the actions of a reply and writes it. It must not be used by several goroutines at once.
 type Writer struct {
 	out io.Writer
-	buf []byte
+	buf []byte // the reply so far
 }
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
 
-// Done ends the reply to a batch and writes it out.
+// EndReply ends the reply to the batch with this serial number and writes it.
 func (w *Writer) EndReply(serial uint64) error {
 	w.buf = append(w.buf, "ok serial="...)
 	w.buf = strconv.AppendUint(w.buf, serial, 10)
@@ -29,31 +29,38 @@
 	return err
 }
 
-// Port writes the actions of one instance. It is that instance's Host.
+// InstanceWriter is the garnettide.Host of one instance. It adds the instance's actions to the reply of a
+// Writer.
 type InstanceWriter struct {
 	reply         *Writer
-	instanceField string
+	instanceField string // balancer_id field, with a space in front
 }
 
-// NewPort returns the Port of an instance.
+// NewInstanceWriter returns an InstanceWriter that adds the actions of an instance to reply.
 func NewInstanceWriter(reply *Writer, instance int) *InstanceWriter {
 	return &InstanceWriter{reply: reply, instanceField: " balancer_id=" + strconv.Itoa(instance)}
 }
 
 var _ garnettide.Host = (*InstanceWriter)(nil)
 
+// beginAction adds the name of an action and the instance's id.
 func (iw *InstanceWriter) beginAction(name string) {
 	iw.reply.buf = append(iw.reply.buf, name...)
 	iw.reply.buf = append(iw.reply.buf, iw.instanceField...)
 }
 
+// endAction ends the line of an action.
 func (iw *InstanceWriter) endAction() { iw.reply.buf = append(iw.reply.buf, '\n') }
 
+// The following methods add one field. Their argument name has a space in front and an equals sign at the
+// end.
+
 func (iw *InstanceWriter) number(name string, x uint64) {
 	iw.reply.buf = append(iw.reply.buf, name...)
 	iw.reply.buf = strconv.AppendUint(iw.reply.buf, x, 10)
 }
 
+// duration adds d in microseconds, unless it is zero.
 func (iw *InstanceWriter) duration(name string, d time.Duration) {
 	if d != 0 {
 		iw.reply.buf = append(iw.reply.buf, name...)
@@ -61,6 +68,7 @@
 	}
 }
 
+// id adds a request's id as 16 hexadecimal digits.
 func (iw *InstanceWriter) id(id garnettide.RequestID) {
 	var raw [8]byte
 	for i := range raw {
@@ -70,13 +78,13 @@
 	iw.reply.buf = hex.AppendEncode(iw.reply.buf, raw[:])
 }
 
-// text writes s as one line.
+// text adds s as a single line: runs of white space become one space.
 func (iw *InstanceWriter) text(name, s string) {
 	iw.reply.buf = append(iw.reply.buf, name...)
 	iw.reply.buf = append(iw.reply.buf, strings.Join(strings.Fields(s), " ")...)
 }
 
-// Send writes an attempt. It is sent at once there, so no window is over by then.
+// Send writes a submit_to action. The simulator sends the attempt at once, so the window is ignored.
 func (iw *InstanceWriter) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, _ time.Duration) {
 	iw.beginAction("submit_to")
 	iw.id(id)
@@ -85,7 +93,7 @@
 	iw.endAction()
 }
 
-// Refuse writes a refusal.
+// Refuse writes a bounce action.
 func (iw *InstanceWriter) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
 	iw.beginAction("bounce")
 	iw.id(id)
@@ -93,14 +101,14 @@
 	iw.endAction()
 }
 
-// Fail writes a failure.
+// Fail writes a report_failure action.
 func (iw *InstanceWriter) Fail(id garnettide.RequestID) {
 	iw.beginAction("report_failure")
 	iw.id(id)
 	iw.endAction()
 }
 
-// Cancel writes the end of waiting for an attempt.
+// Cancel writes a withdraw action.
 func (iw *InstanceWriter) Cancel(id garnettide.RequestID, attempt int) {
 	iw.beginAction("withdraw")
 	iw.id(id)
@@ -108,21 +116,21 @@
 	iw.endAction()
 }
 
-// Probe writes a probe.
+// Probe writes a ping action.
 func (iw *InstanceWriter) Probe(up garnettide.UpstreamID) {
 	iw.beginAction("ping")
 	iw.number(" upstream=", uint64(up))
 	iw.endAction()
 }
 
-// Disconnect writes the closing of idle connections.
+// Disconnect writes a disconnect action.
 func (iw *InstanceWriter) Disconnect(up garnettide.UpstreamID) {
 	iw.beginAction("disconnect")
 	iw.number(" upstream=", uint64(up))
 	iw.endAction()
 }
 
-// Watch writes a subscription to discovery, or its end.
+// Watch writes a keep_informed action.
 func (iw *InstanceWriter) Watch(on bool) {
 	iw.beginAction("keep_informed")
 	if on {
@@ -133,13 +141,13 @@
 	iw.endAction()
 }
 
-// Fetch writes a call for the whole list.
+// Fetch writes a query_all action.
 func (iw *InstanceWriter) Fetch() {
 	iw.beginAction("query_all")
 	iw.endAction()
 }
 
-// SetTimer writes a timer.
+// SetTimer writes a timer action. A negative delay is written as 0.
 func (iw *InstanceWriter) SetTimer(after time.Duration, token uint64) {
 	iw.beginAction("timer")
 	iw.number(" from_now_us=", uint64(max(after, 0).Microseconds()))
@@ -147,14 +155,14 @@
 	iw.endAction()
 }
 
-// Log writes a report line.
+// Log writes a write_log action.
 func (iw *InstanceWriter) Log(text string) {
 	iw.beginAction("write_log")
 	iw.text(" note_text=", text)
 	iw.endAction()
 }
 
-// Crash writes that the decision code has failed.
+// Crash writes a crash action, which reports that the instance has failed.
 func (iw *InstanceWriter) Crash(text string) {
 	iw.beginAction("crash")
 	iw.text(" note_text=", text)
