--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -20,7 +20,8 @@
 	"time"
 )
 
-const config = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
+// configFormat is a configuration. It takes the listen address and the address of discovery.
+const configFormat = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":1,"complete":true,"members":[]},
 "settings":{"az":"z1","balancers":1,"membership_mode":"on_request","weights":"nominal","worth_by":"work",
 "limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":100000,"keepalive_us":60000000},
@@ -28,8 +29,9 @@
 "profiles":[{"name":"c","target_us":250000,"give_up_us":750000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}}`
 
-// program returns the command to start: the deployed one if RUN names it, from the root, or else one built here.
-func program(t *testing.T) *exec.Cmd {
+// command returns the command that starts the load balancer: the one in the environment variable RUN, in
+// the repository's root, or else a program built by this function.
+func command(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("RUN"); run != "" {
 		cmd := exec.Command("/bin/sh", "-c", run)
@@ -38,13 +40,13 @@
 	}
 	path := filepath.Join(t.TempDir(), "olivearch")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("building olivearch: %v\n%s", err, out)
 	}
 	return exec.Command(path)
 }
 
-// free returns an address on which nothing listens.
-func free(t *testing.T) string {
+// freeAddress returns a loopback address on which nothing listens.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,12 +56,13 @@
 	return l.Addr().String()
 }
 
-// TestSmoke starts the program, waits until it is healthy, sends SIGHUP with a bad and with a good configuration, and
-// ends it by SIGTERM. The first discovery is down, also in RELAY_DISCOVERY; the second must be asked.
+// TestSmoke starts the program, waits until it is healthy, reloads an invalid and a valid configuration by
+// SIGHUP, and stops it by SIGTERM. RELAY_DISCOVERY and the first configuration name an unreachable
+// discovery; after the reload, the program must call the discovery of the valid configuration.
 func TestSmoke(t *testing.T) {
-	listen := free(t)
+	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure := func(text string) {
+	writeConfig := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -68,39 +71,39 @@
 			t.Fatal(err)
 		}
 	}
-	down := free(t)
-	configure(fmt.Sprintf(config, listen, down))
-	asked := make(chan string, 100)
-	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.Path
+	unreachable := freeAddress(t)
+	writeConfig(fmt.Sprintf(configFormat, listen, unreachable))
+	discoveryCalls := make(chan string, 100)
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		discoveryCalls <- r.URL.Path
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
-	defer second.Close()
-	cmd := program(t)
+	defer discovery.Close()
+	cmd := command(t)
 	var log bytes.Buffer
-	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_DISCOVERY="+down)
-	read, err := cmd.StderrPipe()
+	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_DISCOVERY="+unreachable)
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended, badRead, inForce := make(chan error, 1), make(chan struct{}), make(chan struct{})
+	exited, rejected, applied := make(chan error, 1), make(chan struct{}), make(chan struct{})
 	go func() {
-		var once, onceInForce sync.Once
-		for lines := bufio.NewScanner(read); lines.Scan(); {
+		var rejectedOnce, appliedOnce sync.Once
+		for lines := bufio.NewScanner(stderr); lines.Scan(); {
 			log.WriteString(lines.Text() + "\n")
 			if strings.Contains(lines.Text(), "the old one stays") {
-				once.Do(func() { close(badRead) })
+				rejectedOnce.Do(func() { close(rejected) })
 			}
 			if strings.Contains(lines.Text(), "configuration in force") && strings.Contains(lines.Text(), "hash=") {
-				onceInForce.Do(func() { close(inForce) })
+				appliedOnce.Do(func() { close(applied) })
 			}
 		}
-		ended <- cmd.Wait()
+		exited <- cmd.Wait()
 	}()
-	limit := time.After(30 * time.Second)
+	timeout := time.After(30 * time.Second)
 	for healthy := false; !healthy; {
 		resp, err := http.Get("http://" + listen + "/healthz")
 		if err == nil {
@@ -108,65 +111,66 @@
 			healthy = resp.StatusCode == http.StatusOK
 		}
 		select {
-		case err := <-ended:
-			t.Fatalf("ended early: %v\n%s", err, &log)
-		case <-limit:
+		case err := <-exited:
+			t.Fatalf("exited before it was healthy: %v\n%s", err, &log)
+		case <-timeout:
 			cmd.Process.Kill()
-			t.Fatalf("not healthy in time: %v", <-ended)
+			t.Fatalf("not healthy within 30 s: %v", <-exited)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	await := func(what string, happened <-chan struct{}) {
+	waitFor := func(description string, event <-chan struct{}) {
 		t.Helper()
 		select {
-		case <-happened:
-		case err := <-ended:
-			t.Fatalf("ended before %s: %v\n%s", what, err, &log)
-		case <-limit:
+		case <-event:
+		case err := <-exited:
+			t.Fatalf("exited before %s: %v\n%s", description, err, &log)
+		case <-timeout:
 			cmd.Process.Kill()
-			t.Fatalf("%s: not in time: %v", what, <-ended)
+			t.Fatalf("timed out waiting for %s: %v", description, <-exited)
 		}
 	}
-	signal := func(s syscall.Signal) {
+	sendSignal := func(s syscall.Signal) {
 		t.Helper()
 		if err := cmd.Process.Signal(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	configure("{")
-	signal(syscall.SIGHUP)
-	await("a bad configuration is logged", badRead)
-	configure(fmt.Sprintf(config, listen, second.Listener.Addr()))
-	signal(syscall.SIGHUP)
-	moved := make(chan struct{})
-	go func() { <-asked; close(moved) }()
-	await("the new discovery is asked", moved)
-	await("the log says which configuration is in force", inForce)
-	signal(syscall.SIGTERM)
+	writeConfig("{")
+	sendSignal(syscall.SIGHUP)
+	waitFor("the log line about the invalid configuration", rejected)
+	writeConfig(fmt.Sprintf(configFormat, listen, discovery.Listener.Addr()))
+	sendSignal(syscall.SIGHUP)
+	discoveryCalled := make(chan struct{})
+	go func() { <-discoveryCalls; close(discoveryCalled) }()
+	waitFor("a call of the new discovery", discoveryCalled)
+	waitFor("the log line about the configuration in force", applied)
+	sendSignal(syscall.SIGTERM)
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			t.Errorf("after SIGTERM: %v\n%s", err, &log)
+			t.Errorf("exit after SIGTERM: %v\n%s", err, &log)
 		}
-	case <-limit:
+	case <-timeout:
 		cmd.Process.Kill()
-		t.Fatalf("not ended in time: %v", <-ended)
+		t.Fatalf("still running 30 s after the start: %v", <-exited)
 	}
 }
 
-func TestBadStartSaysWhy(t *testing.T) {
-	cmd := program(t)
+func TestMissingConfigIsReported(t *testing.T) {
+	cmd := command(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "RELAY_CONFIG") {
-		t.Errorf("got %v, %s", err, out)
+		t.Errorf("error %v, output: %s", err, out)
 	}
 }
 
-// A descriptor that is no listening socket must end the start: the process would be taken for one that serves.
-func TestInheritedDescriptorThatDoesNotListen(t *testing.T) {
+// TestInheritedDescriptorMustListen checks that the program exits if RELAY_INHERITED_FD is not a listening
+// socket. Otherwise a process that cannot accept connections would seem to be serving.
+func TestInheritedDescriptorMustListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, fmt.Appendf(nil, config, free(t), free(t)), 0o600); err != nil {
+	if err := os.WriteFile(path, fmt.Appendf(nil, configFormat, freeAddress(t), freeAddress(t)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	file, err := os.Open(path)
@@ -174,47 +178,48 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	cmd := program(t)
+	cmd := command(t)
 	cmd.ExtraFiles = []*os.File{file}
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_INHERITED_FD=3")
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState.ExitCode() != 1 || !strings.Contains(string(out), "RELAY_INHERITED_FD") {
-		t.Errorf("got %v, %s", err, out)
+		t.Errorf("error %v, output: %s", err, out)
 	}
 }
 
-// The fleet bench loads a library into the balancer: run has to end in one process of a dynamically linked program.
+// TestDeployedProgramIsDynamicallyLinked checks that the deployed program is dynamically linked and
+// replaces the shell that starts it. Tools that preload a shared library into the process depend on both.
 func TestDeployedProgramIsDynamicallyLinked(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	key := func(name string) string {
+	value := func(name string) string {
 		found := regexp.MustCompile(`(?m)^` + name + ` = "(.*)"$`).FindSubmatch(text)
 		if found == nil {
-			t.Fatalf("deploy/balancer.toml names no %s", name)
+			t.Fatalf("deploy/balancer.toml has no key %s", name)
 		}
 		return string(found[1])
 	}
-	build := exec.Command("/bin/sh", "-c", key("build"))
+	build := exec.Command("/bin/sh", "-c", value("build"))
 	build.Dir = root
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
+		t.Fatalf("running the deployed build command: %v\n%s", err, out)
 	}
-	path, ok := strings.CutPrefix(key("run"), "exec ")
+	path, ok := strings.CutPrefix(value("run"), "exec ")
 	if !ok || strings.ContainsAny(path, " ;&|") {
-		t.Fatalf("run does not end by exec in one program: %s", key("run"))
+		t.Fatalf("run does not exec a single program: %s", value("run"))
 	}
 	path = filepath.Join(root, path)
-	program, err := elf.Open(path)
+	binary, err := elf.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer program.Close()
-	interpreted := false
-	for _, p := range program.Progs {
-		interpreted = interpreted || p.Type == elf.PT_INTERP
+	defer binary.Close()
+	hasInterpreter := false
+	for _, p := range binary.Progs {
+		hasInterpreter = hasInterpreter || p.Type == elf.PT_INTERP
 	}
 	info, err := buildinfo.ReadFile(path)
 	if err != nil {
@@ -224,8 +229,8 @@
 	for _, s := range info.Settings {
 		settings[s.Key] = s.Value
 	}
-	if !interpreted || settings["CGO_ENABLED"] != "1" || !strings.Contains(settings["-ldflags"], "-linkmode=external") {
-		t.Errorf("the build has an ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s", interpreted, settings["CGO_ENABLED"],
+	if !hasInterpreter || settings["CGO_ENABLED"] != "1" || !strings.Contains(settings["-ldflags"], "-linkmode=external") {
+		t.Errorf("ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s; want a dynamically linked program", hasInterpreter, settings["CGO_ENABLED"],
 			settings["-ldflags"])
 	}
 }
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -1,5 +1,9 @@
-// Package wire speaks the text protocol between the simulator and its adapter:
-// batches of events in, one reply of actions each out. It decides nothing.
+// Package wire implements the text protocol between the simulator and its adapter. A Reader parses batches
+// of events, and a Writer writes one reply of actions to each batch. The package also decodes the JSON
+// settings of the simulator and of the load balancer's configuration.
+//
+// A message is one line: its name, followed by name=value fields that are separated by spaces. Unknown
+// fields are ignored.
 package wire
 
 import (
@@ -18,72 +22,73 @@
 // Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of events.
+// The kinds of events, with the names of their messages. Most correspond to a method of garnettide.Events.
 const (
-	Attach Kind = iota
-	Exit
-	Endpoints
-	Inbound
-	Established
-	Verdict
-	Lapsed
-	Elapsed
-	Health
-	Inbox
+	EventAttach          Kind = iota // attach: an instance starts
+	EventExit                        // exit: an instance ends
+	EventMembers                     // endpoints
+	EventRequest                     // inbound
+	EventResponseStarted             // established
+	EventOutcome                     // verdict
+	EventClientGone                  // lapsed
+	EventTimer                       // elapsed
+	EventProbed                      // health
+	EventMessage                     // inbox: its content is dropped
 )
 
-// Event is one event for one instance. Kind tells which fields are set.
+// Event is one event for one instance. Kind tells which fields are set besides Kind and Instance.
 type Event struct {
 	Kind     Kind
 	Instance int
-	Seed     uint64
-	Settings garnettide.Settings
-	Mode     garnettide.ListMode
-	List     []garnettide.Upstream
-	Request  garnettide.Request
-	Outcome  garnettide.Outcome // also Established: ID, Upstream, Attempt, Latency
-	Probe    garnettide.ProbeResult
-	Token    uint64
+	Seed     uint64                 // EventAttach
+	Settings garnettide.Settings    // EventAttach
+	Mode     garnettide.ListMode    // EventMembers
+	List     []garnettide.Upstream  // EventMembers; nil if Mode is ListFailed
+	Request  garnettide.Request     // EventRequest; EventClientGone: ID only
+	Outcome  garnettide.Outcome     // EventOutcome; EventResponseStarted: ID, Upstream, Attempt and Latency only
+	Probe    garnettide.ProbeResult // EventProbed
+	Token    uint64                 // EventTimer: token of Host.SetTimer
 }
 
-// Batch is what happened at one moment.
+// Batch holds the events of one moment.
 type Batch struct {
-	At     time.Duration
-	Serial uint64
+	At     time.Duration // time on the simulator's clock
+	Serial uint64        // number of the batch, repeated in the reply
 	Events []Event
 }
 
-// banks is how many numbered lists the protocol has.
-const banks = 16
+// bankCount is the number of banks. A sheet message stores a list of upstreams in a bank, and endpoints
+// messages refer to it.
+const bankCount = 16
 
-// Reader reads batches.
+// Reader reads batches of events. It must not be used by several goroutines at once.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	long  []byte
-	names map[string]string
-	lists [banks][]garnettide.Upstream
-	known [banks]bool
-	parts fields
+	in         *bufio.Reader
+	line       int               // number of the last line read, from 1
+	longLine   []byte            // buffer for lines that exceed the buffer of in
+	interned   map[string]string // see intern
+	lists      [bankCount][]garnettide.Upstream
+	received   [bankCount]bool // banks that have been filled
+	lineFields fields          // fields of the current line
 }
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<16), names: map[string]string{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<16), interned: map[string]string{}}
 }
 
-// Next reads a batch into b, whose events are overwritten. It returns io.EOF at the
-// end of input and an error that names line and field if the input is malformed.
+// Next reads a batch into b and overwrites its events. It returns io.EOF at the end of the input, and an
+// error that gives the line number and the cause if the input is malformed.
 func (r *Reader) Next(b *Batch) error {
-	line, err := r.next()
+	line, err := r.readLine()
 	if err != nil {
 		return err
 	}
-	if err := r.frame(line, b); err != nil {
+	if err := r.readFrame(line, b); err != nil {
 		return fmt.Errorf("line %d: %w", r.line, err)
 	}
 	for {
-		line, err := r.next()
+		line, err := r.readLine()
 		if errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: batch %d ends without eob", r.line, b.Serial)
 		}
@@ -93,26 +98,26 @@
 		if string(line) == "eob" {
 			return nil
 		}
-		if err := r.event(line, b); err != nil {
+		if err := r.readEvent(line, b); err != nil {
 			return fmt.Errorf("line %d: %w", r.line, err)
 		}
 	}
 }
 
-// next returns the next line without its end. The slice holds until the next call.
-func (r *Reader) next() ([]byte, error) {
+// readLine returns the next line without its newline. The slice is valid until the next call.
+func (r *Reader) readLine() ([]byte, error) {
 	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], line...)
+		r.longLine = append(r.longLine[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
 			line, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, line...)
+			r.longLine = append(r.longLine, line...)
 		}
-		line = r.long
+		line = r.longLine
 	}
 	switch {
 	case errors.Is(err, io.EOF) && len(line) > 0:
-		return nil, fmt.Errorf("line %d: cut short", r.line+1)
+		return nil, fmt.Errorf("line %d: no newline at the end of the input", r.line+1)
 	case errors.Is(err, io.EOF):
 		return nil, io.EOF
 	case err != nil:
@@ -122,66 +127,68 @@
 	return line[:len(line)-1], nil
 }
 
-func (r *Reader) frame(line []byte, b *Batch) error {
-	name, err := r.parts.split(line)
+// readFrame parses a frame message, which begins a batch.
+func (r *Reader) readFrame(line []byte, b *Batch) error {
+	name, err := r.lineFields.split(line)
 	if err != nil {
 		return err
 	}
 	if string(name) != "frame" {
-		return fmt.Errorf("message %q where frame was expected", name)
+		return fmt.Errorf("unexpected message %q, want frame", name)
 	}
-	f := &r.parts
-	b.At = f.span("at_time_us", true)
+	f := &r.lineFields
+	b.At = f.duration("at_time_us", true)
 	b.Serial = f.uint("serial", 64, true)
 	b.Events = b.Events[:0]
 	return f.err
 }
 
-func (r *Reader) event(line []byte, b *Batch) error {
-	name, err := r.parts.split(line)
+// readEvent parses a message within a batch. It appends an event to b, unless the message is a sheet.
+func (r *Reader) readEvent(line []byte, b *Batch) error {
+	name, err := r.lineFields.split(line)
 	if err != nil {
 		return err
 	}
-	f := &r.parts
+	f := &r.lineFields
 	if string(name) == "sheet" {
-		return r.sheet()
+		return r.readSheet()
 	}
 	var e Event
 	switch string(name) {
 	case "attach":
-		e.Kind, e.Seed = Attach, f.uint("random_seed", 64, true)
+		e.Kind, e.Seed = EventAttach, f.uint("random_seed", 64, true)
 		e.Settings = f.settings("params")
 	case "exit":
-		e.Kind = Exit
+		e.Kind = EventExit
 	case "endpoints":
-		e.Kind = Endpoints
+		e.Kind = EventMembers
 		e.Mode = f.mode("mode")
 		if e.Mode != garnettide.ListFailed {
-			e.List = r.list()
+			e.List = r.referencedList()
 		}
 	case "inbound":
-		e.Kind = Inbound
-		e.Request = garnettide.Request{ID: garnettide.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
-			Class: r.name(f.text("class", true)), Tenant: r.name(f.text("org", false)), Key: f.hex("key", false),
-			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false)}
+		e.Kind = EventRequest
+		e.Request = garnettide.Request{ID: garnettide.RequestID(f.hex("id", true)), Budget: f.duration("budget_us", true),
+			Class: r.intern(f.text("class", true)), Tenant: r.intern(f.text("org", false)), Key: f.hex("key", false),
+			HasKey: f.has("key"), Retry: f.boolean("retry"), Cost: f.duration("cost_guess_us", false)}
 	case "established":
-		e.Kind = Established
+		e.Kind = EventResponseStarted
 		e.Outcome = f.outcome()
 	case "verdict":
-		e.Kind = Verdict
+		e.Kind = EventOutcome
 		e.Outcome = f.outcome()
-		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
+		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.boolean("over"), f.load("metrics")
 	case "lapsed":
-		e.Kind = Lapsed
+		e.Kind = EventClientGone
 		e.Request.ID = garnettide.RequestID(f.hex("id", true))
 	case "elapsed":
-		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
+		e.Kind, e.Token = EventTimer, f.uint("ctx", 63, true)
 	case "health":
-		e.Kind = Health
+		e.Kind = EventProbed
 		e.Probe = garnettide.ProbeResult{Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
-			Latency: f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
+			Latency: f.duration("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
 	case "inbox":
-		e.Kind = Inbox
+		e.Kind = EventMessage
 		f.uint("author", 31, true)
 	default:
 		return fmt.Errorf("unknown message %q", name)
@@ -194,130 +201,140 @@
 	return nil
 }
 
-// sheet reads a numbered list and its entries.
-func (r *Reader) sheet() error {
-	f := &r.parts
-	bank, n := f.uint("bank", 31, true), f.uint("items", 31, true)
-	if f.err == nil && bank >= banks {
+// readSheet stores a list of upstreams in a bank. The current line is the sheet message; the m messages of
+// its upstreams follow.
+func (r *Reader) readSheet() error {
+	f := &r.lineFields
+	bank, items := f.uint("bank", 31, true), f.uint("items", 31, true)
+	if f.err == nil && bank >= bankCount {
 		f.fail("bank", "out of range")
 	}
 	if f.err != nil {
 		return fmt.Errorf("sheet: %w", f.err)
 	}
-	list := make([]garnettide.Upstream, 0, min(n, 1<<12))
-	for range n {
-		line, err := r.next()
+	list := make([]garnettide.Upstream, 0, min(items, 1<<12))
+	for range items {
+		line, err := r.readLine()
 		if err != nil {
-			return fmt.Errorf("sheet: items=%d, but %d follow: %w", n, len(list), err)
+			return fmt.Errorf("sheet: items=%d, but only %d entries follow: %w", items, len(list), err)
 		}
 		name, err := f.split(line)
 		if err != nil {
 			return err
 		}
 		if string(name) != "m" {
-			return fmt.Errorf("sheet: items=%d, but %d follow", n, len(list))
+			return fmt.Errorf("sheet: items=%d, but only %d entries follow", items, len(list))
 		}
 		u := garnettide.Upstream{ID: garnettide.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
-			Zone: r.name(f.text("region_part", false)), Weight: f.real("nominal", 1),
-			StartedAt: f.span("came_up_us", false), State: f.state("availability")}
+			Zone: r.intern(f.text("region_part", false)), Weight: f.real("nominal", 1),
+			StartedAt: f.duration("came_up_us", false), State: f.state("availability")}
 		if f.err != nil {
 			return fmt.Errorf("m: %w", f.err)
 		}
 		list = append(list, u)
 	}
-	r.lists[bank], r.known[bank] = list, true
+	r.lists[bank], r.received[bank] = list, true
 	return nil
 }
 
-func (r *Reader) list() []garnettide.Upstream {
-	bank := r.parts.uint("bank", 31, true)
-	if bank >= banks || !r.known[bank] {
-		r.parts.fail("bank", "no such list")
+// referencedList returns the list of the bank that the current line names. Lists are never modified once
+// stored.
+func (r *Reader) referencedList() []garnettide.Upstream {
+	bank := r.lineFields.uint("bank", 31, true)
+	if bank >= bankCount || !r.received[bank] {
+		r.lineFields.fail("bank", "no list has been stored in this bank")
 		return nil
 	}
 	return r.lists[bank]
 }
 
-// name returns b as a string, the same one each time, so that requests allocate none.
-func (r *Reader) name(b []byte) string {
+// intern returns b as a string. It allocates only the first time that it sees a value.
+func (r *Reader) intern(b []byte) string {
 	if len(b) == 0 {
 		return ""
 	}
-	s, ok := r.names[string(b)]
+	s, ok := r.interned[string(b)]
 	if !ok {
 		s = string(b)
-		r.names[s] = s
+		r.interned[s] = s
 	}
 	return s
 }
 
-// fields holds the name=value parts of one line; the first error stays.
+// fields holds the name=value fields of one line. Its methods record an error if a field is invalid, or
+// absent although it is required; their result must not be used then. Absent optional fields are zero
+// unless stated otherwise.
 type fields struct {
-	parts [][2][]byte
-	err   error
+	pairs [][2][]byte // names and values
+	err   error       // the first error since split
 }
 
-// split takes a line apart and returns the message's name.
+// split parses a line and returns the name of the message.
 func (f *fields) split(line []byte) ([]byte, error) {
-	f.parts, f.err = f.parts[:0], nil
+	f.pairs, f.err = f.pairs[:0], nil
 	name, rest, more := bytes.Cut(line, []byte{' '})
 	for more {
-		var part []byte
-		eq := bytes.IndexByte(rest, '=')
-		if eq > 0 && (string(rest[:eq]) == "params" || string(rest[:eq]) == "note_text") {
-			part, more = rest, false // text runs to the end of the line
+		var pair []byte
+		equals := bytes.IndexByte(rest, '=')
+		if equals > 0 && (string(rest[:equals]) == "params" || string(rest[:equals]) == "note_text") {
+			pair, more = rest, false // free text extends to the end of the line
 		} else {
-			part, rest, more = bytes.Cut(rest, []byte{' '})
-			eq = bytes.IndexByte(part, '=')
+			pair, rest, more = bytes.Cut(rest, []byte{' '})
+			equals = bytes.IndexByte(pair, '=')
 		}
-		if eq <= 0 {
-			return nil, fmt.Errorf("%s: part %q is not name=value", name, part)
+		if equals <= 0 {
+			return nil, fmt.Errorf("%s: field %q is not name=value", name, pair)
 		}
-		f.parts = append(f.parts, [2][]byte{part[:eq], part[eq+1:]})
+		f.pairs = append(f.pairs, [2][]byte{pair[:equals], pair[equals+1:]})
 	}
 	return name, nil
 }
 
-func (f *fields) fail(name, why string) {
+// fail records an error about a field, unless there is an earlier one.
+func (f *fields) fail(name, reason string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("field %s: %s", name, why)
+		f.err = fmt.Errorf("field %s: %s", name, reason)
 	}
 }
 
+// has reports whether the line has a field of this name.
 func (f *fields) has(name string) bool {
-	for i := range f.parts {
-		if string(f.parts[i][0]) == name {
+	for i := range f.pairs {
+		if string(f.pairs[i][0]) == name {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *fields) text(name string, need bool) []byte {
-	for i := range f.parts {
-		if string(f.parts[i][0]) == name {
-			return f.parts[i][1]
+// text returns the value of a field, or nil if the field is absent.
+func (f *fields) text(name string, required bool) []byte {
+	for i := range f.pairs {
+		if string(f.pairs[i][0]) == name {
+			return f.pairs[i][1]
 		}
 	}
-	if need {
+	if required {
 		f.fail(name, "missing")
 	}
 	return nil
 }
 
-func (f *fields) uint(name string, bits int, need bool) uint64 {
-	v := f.text(name, need)
+// uint returns an unsigned decimal number of at most the given number of bits.
+func (f *fields) uint(name string, bits int, required bool) uint64 {
+	v := f.text(name, required)
 	if v == nil {
 		return 0
 	}
-	x, ok := digits(v)
+	x, ok := parseDigits(v)
 	if !ok || (bits < 64 && x>>bits != 0) {
 		f.fail(name, fmt.Sprintf("%q is not a number in range", v))
 	}
 	return x
 }
 
-func digits(v []byte) (uint64, bool) {
+// parseDigits parses an unsigned decimal number. It allocates nothing for numbers of up to 18 digits.
+func parseDigits(v []byte) (uint64, bool) {
 	if len(v) == 0 || len(v) > 20 {
 		return 0, false
 	}
@@ -335,9 +352,9 @@
 	return x, true
 }
 
-// span reads a time in microseconds; it may be below zero.
-func (f *fields) span(name string, need bool) time.Duration {
-	v := f.text(name, need)
+// duration returns a time that is given in microseconds and may be negative.
+func (f *fields) duration(name string, required bool) time.Duration {
+	v := f.text(name, required)
 	if v == nil {
 		return 0
 	}
@@ -345,16 +362,17 @@
 	if len(v) > 1 && v[0] == '-' {
 		sign, v = -1, v[1:]
 	}
-	x, ok := digits(v)
+	x, ok := parseDigits(v)
 	if !ok || x > math.MaxInt64/uint64(time.Microsecond) {
-		f.fail(name, fmt.Sprintf("%q is not a time", v))
+		f.fail(name, fmt.Sprintf("%q is not a time in microseconds", v))
 		return 0
 	}
 	return sign * time.Duration(x) * time.Microsecond
 }
 
-func (f *fields) hex(name string, need bool) uint64 {
-	v := f.text(name, need)
+// hex returns a number of 16 lower-case hexadecimal digits.
+func (f *fields) hex(name string, required bool) uint64 {
+	v := f.text(name, required)
 	if v == nil {
 		return 0
 	}
@@ -371,12 +389,13 @@
 		}
 	}
 	if !ok {
-		f.fail(name, fmt.Sprintf("%q is not 16 hex digits", v))
+		f.fail(name, fmt.Sprintf("%q is not 16 hexadecimal digits", v))
 	}
 	return x
 }
 
-func (f *fields) flag(name string) bool {
+// boolean returns true for 1, and false for 0 or if the field is absent.
+func (f *fields) boolean(name string) bool {
 	v := f.text(name, false)
 	if v != nil && string(v) != "1" && string(v) != "0" {
 		f.fail(name, fmt.Sprintf("%q is not 1 or 0", v))
@@ -384,27 +403,31 @@
 	return string(v) == "1"
 }
 
-func (f *fields) real(name string, absent float64) float64 {
+// real returns a floating-point number, or defaultValue if the field is absent.
+func (f *fields) real(name string, defaultValue float64) float64 {
 	v := f.text(name, false)
 	if v == nil {
-		return absent
+		return defaultValue
 	}
-	return f.number(name, v)
+	return f.parseFloat(name, v)
 }
 
-func (f *fields) number(name string, v []byte) float64 {
+// parseFloat parses a finite floating-point number and records an error under the name of a field.
+func (f *fields) parseFloat(name string, v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		f.fail(name, fmt.Sprintf("%q is not a number", v))
+		f.fail(name, fmt.Sprintf("%q is not a finite number", v))
 	}
 	return x
 }
 
+// outcome returns the fields that established and verdict messages have in common.
 func (f *fields) outcome() garnettide.Outcome {
 	return garnettide.Outcome{ID: garnettide.RequestID(f.hex("id", true)), Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
-		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true)}
+		Attempt: int(f.uint("go", 31, true)), Latency: f.duration("cost_time_us", true)}
 }
 
+// mode returns a list mode.
 func (f *fields) mode(name string) garnettide.ListMode {
 	switch string(f.text(name, true)) {
 	case "D":
@@ -420,6 +443,7 @@
 	return 0
 }
 
+// state returns the state of an upstream.
 func (f *fields) state(name string) garnettide.State {
 	switch string(f.text(name, true)) {
 	case "active":
@@ -429,10 +453,11 @@
 	case "left":
 		return garnettide.Removed
 	}
-	f.fail(name, "unknown state")
+	f.fail(name, "unknown upstream state")
 	return 0
 }
 
+// status returns the status of an attempt or a probe.
 func (f *fields) status(name string) garnettide.Status {
 	switch x := f.uint(name, 31, true); x {
 	case 0:
@@ -457,39 +482,39 @@
 	}
 }
 
-// load reads a report: name:value pairs. Values of other names are passed over.
+// load returns a load report of name:value pairs that are separated by commas. Unknown names are ignored.
 func (f *fields) load(name string) garnettide.Load {
 	var l garnettide.Load
 	rest := f.text(name, false)
 	for len(rest) > 0 {
-		var part []byte
-		part, rest, _ = bytes.Cut(rest, []byte{','})
-		key, v, ok := bytes.Cut(part, []byte{':'})
+		var pair []byte
+		pair, rest, _ = bytes.Cut(rest, []byte{','})
+		key, v, ok := bytes.Cut(pair, []byte{':'})
 		if !ok {
-			f.fail(name, fmt.Sprintf("%q is not name:value", part))
+			f.fail(name, fmt.Sprintf("%q is not name:value", pair))
 			return l
 		}
-		x := f.number(name, v)
-		SetLoad(&l, string(key), x)
+		x := f.parseFloat(name, v)
+		SetLoadValue(&l, string(key), x)
 	}
 	return l
 }
 
-// SetLoad puts one value of a load report into l, by its name in the settings or the short one that upstreams use.
-// Values of other names are passed over.
-func SetLoad(l *garnettide.Load, name string, x float64) {
+// SetLoadValue sets one value of a load report. The name is the simulator's or that of the X-Load header;
+// unknown names are ignored.
+func SetLoadValue(l *garnettide.Load, name string, value float64) {
 	switch name {
 	case "load_share", "util":
-		l.Util, l.Fields = x, l.Fields|garnettide.HasUtil
+		l.Util, l.Fields = value, l.Fields|garnettide.HasUtil
 	case "concurrent", "inflight":
-		l.Inflight, l.Fields = x, l.Fields|garnettide.HasInflight
+		l.Inflight, l.Fields = value, l.Fields|garnettide.HasInflight
 	case "depth", "queue":
-		l.Queue, l.Fields = x, l.Fields|garnettide.HasQueue
+		l.Queue, l.Fields = value, l.Fields|garnettide.HasQueue
 	case "mean_ms", "latency_ms":
-		l.ServiceTime, l.Fields = x, l.Fields|garnettide.HasServiceTime
+		l.ServiceTime, l.Fields = value, l.Fields|garnettide.HasServiceTime
 	case "tps", "qps":
-		l.RequestRate, l.Fields = x, l.Fields|garnettide.HasRequestRate
+		l.RequestRate, l.Fields = value, l.Fields|garnettide.HasRequestRate
 	case "err_ps", "eps":
-		l.ErrorRate, l.Fields = x, l.Fields|garnettide.HasErrorRate
+		l.ErrorRate, l.Fields = value, l.Fields|garnettide.HasErrorRate
 	}
 }
