--- a/balancer.go
+++ b/balancer.go
@@ -15,52 +15,52 @@
 
 // Constants. Those without a unit are ratios.
 const (
-	bandWindow            = 8           // N: readings in an upstream's moving window
-	bandAlpha             = 2.0         // α: half the band gap in standard deviations, as usual for these bands
-	bandPeriod            = time.Second // the band gap is integrated over it, then shares move
-	areaFloor             = 0.4         // areas below it are noise: a deviation of a tenth of full use
-	areaRatio             = 1.25        // saturated: an area over this multiple of the fleet's median
-	fullUse               = 0.8         // mean use over which more attempts out bring no more
-	levelFloor            = 0.5         // use below it never counts as excess level
-	cutMost               = 0.8         // the deepest cut in one period: reports lag, so steps are small
-	restoreStep           = 1.04        // shares come back more slowly than they go
-	shareFloor            = 0.1         // a share is never cut below this part of its start
-	debtRounds            = 1.0         // turns missed beyond this many rounds are forgotten
-	smoothing             = 0.1         // weight of a new sample in running means
-	sharers               = 4.0         // balancers that share an upstream, where there are enough
-	subsetLeast           = 2           // upstreams that a balancer uses at least
-	boundStart            = 3.0         // attempts out at one upstream, over all balancers, at first
-	boundMost             = 6.0         // at most, over all balancers: a backlog beyond it makes a server choke
-	partWeight            = 0.3         // weight of a period's part of the traffic in the mean of it
-	boundLeast            = 0.25        // over all balancers: with pauses, so that a crowded server can rest
-	boundCut              = 0.8         // on a crowded answer; twice on a full queue or a time-out
-	boundGrowth           = 0.02        // on an answer while turns are short, times the square of its spare aims
-	easy                  = 1.5         // latency for the work, in multiples of its least: no queue
-	crowded               = 1.6         // over this multiple: the upstream is crowded or sick
-	crowdedShare          = 0.5         // and it takes this part of the aim: far under it crowding hurts nobody
-	leastDrift            = 0.005       // how fast the least latency is unlearnt
-	patienceDevs          = 5.0         // deviations over its usual latency before an upstream is silent
-	lostAfter             = 2           // answers to later attempts after which one that is overdue is lost
-	lostDoubt             = 2.0         // patience that is added while what is overdue is answered after all
-	tipMargin             = 0.6         // part of the cold budget that is used
-	coldUse               = 0.9         // and its use at most: half of that at once, and all in OverloadWindow
-	sendSpare             = 2.33        // latencies to the aim left to the cheapest class, less its late worth
-	quotaChance           = 2.0         // deviations of a second's requests by chance that a quota lets pass
-	budgetNoise           = 16          // a budget that differs by one in this many is a client's later try
-	budgetVotes           = 64          // tries of other budgets that it takes to unlearn the usual one, at most
-	ticksPerAim           = 16          // housekeeping runs this often in the shortest aim
-	waitGrowth            = 2           // trials, failed connects and discovery calls are spaced by this growth
-	forgetMost            = 256         // names that are forgotten in a tick, a change
-	logEvery              = 5 * time.Second
-	callTime              = 60 * time.Millisecond // of discovery, for a call
-	firstCalls            = 0.7                   // of the time for a call of each: not all are new at once
-	toldWithin            = 6 * time.Second       // what a failed call missed counts as told by then
-	callSpare             = time.Second           // of that, for the call that brings it; at least as long as
-	callWaitMost          = 2 * time.Second       // the failed one took, up to this: discovery fails it by then
-	callMost              = 7 * time.Second / 2   // a call is given up by then: later ones waited for news
-	turnedAwayLimit       = 2                     // requests in a row
-	presumedDrainTime     = 2 * toldWithin
-	tickToken, watchToken = 1, 2
+	bandWindow                = 8           // N: readings in an upstream's moving window
+	bandHalfWidth             = 2.0         // α: half the band gap in standard deviations, as usual for these bands
+	bandPeriod                = time.Second // the band gap is integrated over it, then shares move
+	minBandArea               = 0.4         // areas below it are noise: a deviation of a tenth of full use
+	saturatedAreaRatio        = 1.25        // saturated: an area over this multiple of the fleet's median
+	fullUtil                  = 0.8         // mean use over which more attempts out bring no more
+	minExcessUtil             = 0.5         // use below it never counts as excess level
+	minCutFactor              = 0.8         // the deepest cut in one period: reports lag, so steps are small
+	shareRestoreFactor        = 1.04        // shares come back more slowly than they go
+	minShareFactor            = 0.1         // a share is never cut below this part of its start
+	maxLagRounds              = 1.0         // turns missed beyond this many rounds are forgotten
+	smoothing                 = 0.1         // weight of a new sample in running means
+	balancersPerUpstream      = 4.0         // balancers that share an upstream, where there are enough
+	minSubsetSize             = 2           // upstreams that a balancer uses at least
+	initialFleetLimit         = 3.0         // attempts out at one upstream, over all balancers, at first
+	maxFleetLimit             = 6.0         // at most, over all balancers: a backlog beyond it makes a server choke
+	periodSmoothing           = 0.3         // weight of a period's part of the traffic in the mean of it
+	minFleetLimit             = 0.25        // over all balancers: with pauses, so that a crowded server can rest
+	limitCutFactor            = 0.8         // on a crowded answer; twice on a full queue or a time-out
+	limitGrowth               = 0.02        // on an answer while turns are short, times the square of its spare aims
+	lowLatencyRatio           = 1.5         // latency for the work, in multiples of its least: no queue
+	highLatencyRatio          = 1.6         // over this multiple: the upstream is crowded or sick
+	highLatencyTargetShare    = 0.5         // and it takes this part of the aim: far under it crowding hurts nobody
+	baselineDrift             = 0.005       // how fast the least latency is unlearnt
+	responseTimeoutDevs       = 5.0         // deviations over its usual latency before an upstream is silent
+	minOvertakes              = 2           // answers to later attempts after which one that is overdue is lost
+	lateAnswerAllowance       = 2.0         // patience that is added while what is overdue is answered after all
+	coldBudgetShare           = 0.6         // part of the cold budget that is used
+	coldBudgetMaxUse          = 0.9         // and its use at most: half of that at once, and all in OverloadWindow
+	latencyMargin             = 2.33        // latencies to the aim left to the cheapest class, less its late worth
+	quotaDevs                 = 2.0         // deviations of a second's requests by chance that a quota lets pass
+	budgetTolerance           = 16          // a budget that differs by one in this many is a client's later try
+	maxBudgetVotes            = 64          // tries of other budgets that it takes to unlearn the usual one, at most
+	ticksPerTarget            = 16          // housekeeping runs this often in the shortest aim
+	backoffGrowth             = 2           // trials, failed connects and discovery calls are spaced by this growth
+	removalsPerTick           = 256         // names that are forgotten in a tick, a change
+	logInterval               = 5 * time.Second
+	discoveryCallTime         = 60 * time.Millisecond // of discovery, for a call
+	firstCallShare            = 0.7                   // of the time for a call of each: not all are new at once
+	maxNotifyDelay            = 6 * time.Second       // what a failed call missed counts as told by then
+	minCallReserve            = time.Second           // of that, for the call that brings it; at least as long as
+	maxCallReserve            = 2 * time.Second       // the failed one took, up to this: discovery fails it by then
+	longPollThreshold         = 7 * time.Second / 2   // a call is given up by then: later ones waited for news
+	rejectionLimit            = 2                     // requests in a row
+	presumedDrainTime         = 2 * maxNotifyDelay
+	tickToken, discoveryToken = 1, 2
 )
 
 // New returns a Balancer, or an error that names the setting that is wrong.
@@ -79,15 +79,15 @@
 func NewWithPlan(p *Plan, seed uint64, now time.Duration, host Host) *Balancer {
 	b := &Balancer{host: host, rng: rand.New(rand.NewPCG(seed, 0)), classes: map[string]*classStatistics{},
 		tenants: map[string]*tenant{}, requests: map[RequestID]*request{},
-		byID: map[UpstreamID]*upstream{}, off: map[UpstreamID]bool{}, logged: map[string]time.Duration{},
-		stepAt: now, tightAt: now, doubt: 1}
-	b.adopt(p)
-	b.gather(now)
-	b.lat = float64(p.minTarget) / 4 // until answers tell
-	host.SetTimer(b.tick, tickToken)
-	if b.s.PollDiscovery { // not all balancers at once, also where a release has started them together;
+		byID: map[UpstreamID]*upstream{}, inMaintenance: map[UpstreamID]bool{}, lastLogged: map[string]time.Duration{},
+		periodStart: now, lastQueuedAt: now, lateAnswerRatio: 1}
+	b.applyPlan(p)
+	b.selectSubset(now)
+	b.latency = float64(p.minTarget) / 4 // until answers tell
+	host.SetTimer(b.tickInterval, tickToken)
+	if b.config.PollDiscovery { // not all balancers at once, also where a release has started them together;
 		// yet soon: what changed while this one was down counts as told no later for that
-		host.SetTimer(time.Duration(b.turnOf()*firstCalls*float64(b.turnOfCalls())), watchToken)
+		host.SetTimer(time.Duration(b.staggerFraction()*firstCallShare*float64(b.callRoundTime())), discoveryToken)
 	}
 	return b
 }
@@ -96,13 +96,13 @@
 
 // maySend alone decides whether r may be sent (again), and whether u may take it.
 func (b *Balancer) maySend(r *request, u *upstream, now time.Duration) bool {
-	if r.done || r.spent || now >= r.deadline || !b.open(u) ||
-		len(r.attempts) >= b.s.Limits.MaxAttempts || (r.out > 0 && (r.Streaming || !b.s.Limits.Hedging)) {
+	if r.done || r.bodyConsumed || now >= r.deadline || !b.available(u) ||
+		len(r.attempts) >= b.config.Limits.MaxAttempts || (r.attemptsInFlight > 0 && (r.Streaming || !b.config.Limits.Hedging)) {
 		return false
 	}
 	for _, a := range r.attempts {
 		if !a.neverRan && (r.class.Idempotency == NonIdempotent || (r.class.Idempotency == IdempotentByKey &&
-			(now-a.sentAt >= r.class.DedupWindow-b.tick || (r.class.DedupScope == DedupZone && a.up.Zone != u.Zone) ||
+			(now-a.sentAt >= r.class.DedupWindow-b.tickInterval || (r.class.DedupScope == DedupZone && a.up.Zone != u.Zone) ||
 				(r.class.DedupScope == DedupCell && a.up.Cell != u.Cell)))) {
 			return false
 		}
@@ -118,79 +118,79 @@
 }
 
 // Request takes a client's request.
-func (b *Balancer) Request(now time.Duration, q Request) {
-	if b.plan.classes[q.Class] == nil || !b.plan.knows(q.Tenant) { // never sent, so a retry is harmless
-		b.host.Refuse(q.ID, 0) // and it helps as little later
+func (b *Balancer) Request(now time.Duration, incoming Request) {
+	if b.plan.classes[incoming.Class] == nil || !b.plan.acceptsTenant(incoming.Tenant) { // never sent, so a retry is harmless
+		b.host.Refuse(incoming.ID, 0) // and it helps as little later
 		return
 	}
-	c := b.class(q.Class, q.ClassSettings)
-	r := &request{Request: q, class: c, units: cmp.Or(c.lat/b.lat, 1), deadline: now + q.Budget,
-		worth: c.Worth, coming: q.Streaming}
-	if q.Cost > 0 {
-		follow(&b.cost, float64(q.Cost), smoothing*smoothing)
-		r.units = max(float64(q.Cost)/b.cost, smoothing)
+	c := b.class(incoming.Class, incoming.ClassSettings)
+	r := &request{Request: incoming, class: c, workUnits: cmp.Or(c.latency/b.latency, 1), deadline: now + incoming.Budget,
+		worth: c.Worth, bodyPending: incoming.Streaming}
+	if incoming.Cost > 0 {
+		updateMean(&b.meanCost, float64(incoming.Cost), smoothing*smoothing)
+		r.workUnits = max(float64(incoming.Cost)/b.meanCost, smoothing)
 	}
-	if !b.s.WorthByWork {
-		r.worth /= r.units
+	if !b.config.WorthByWork {
+		r.worth /= r.workUnits
 	}
-	if r.over = b.over(r, now); r.over {
-		r.worth *= b.s.OverQuotaWorth
+	if r.overQuota = b.overQuota(r, now); r.overQuota {
+		r.worth *= b.config.OverQuotaWorth
 	}
 	// A try of the usual budget may be a first one. Any other was given what is left of the deadline, a last one
 	// more than usual, and so shows its age. Past the aim it would take the turns of those in time.
 	// The more a class is worth, the sooner a small chance to be in time outweighs what a cheap one is sure of.
-	spare := time.Duration((sendSpare - c.LateWorth) * cmp.Or(c.lat, b.lat) * b.plan.stake(c.Worth))
-	if !c.usual(q.Budget) && c.LatencyTarget-(c.Deadline-q.Budget) < spare {
+	margin := time.Duration((latencyMargin - c.LateWorth) * cmp.Or(c.latency, b.latency) * b.plan.worthRatio(c.Worth))
+	if !c.isUsualBudget(incoming.Budget) && c.LatencyTarget-(c.Deadline-incoming.Budget) < margin {
 		r.worth *= c.LateWorth
 	}
 	// Held for half of its time at most: refused then, the client's next try can still be in time, and is no
 	// late one that takes turns. The held are looked at once a tick: without one in hand a short budget ran out.
-	r.sendBy = now + (min(c.LatencyTarget, q.Budget)-max(spare, b.tick))/2 - b.tick
+	r.sendBy = now + (min(c.LatencyTarget, incoming.Budget)-max(margin, b.tickInterval))/2 - b.tickInterval
 	b.requests[r.ID] = r
-	if r.worth == 0 && now-b.tightAt < time.Duration(b.lat) { // turns are short
-		b.giveUp(r, now)
+	if r.worth == 0 && now-b.lastQueuedAt < time.Duration(b.latency) { // turns are short
+		b.endUnserved(r, now)
 	} else {
-		b.place(r, now)
+		b.route(r, now)
 	}
 }
 
 // place sends r if a turn allows it, holds it if one may come free in time, and otherwise ends it.
-func (b *Balancer) place(r *request, now time.Duration) {
-	switch u, legal := b.pick(r, now); {
+func (b *Balancer) route(r *request, now time.Duration) {
+	switch u, permitted := b.pick(r, now); {
 	case u != nil:
 		b.send(r, u, now)
-	case (legal || len(r.attempts) == 0) && now < r.sendBy && !b.barred(): // most worth first, then the newest
-		r.held, b.tightAt = true, now
-		at, _ := slices.BinarySearchFunc(b.held, r.worth, func(x *request, worth float64) int {
+	case (permitted || len(r.attempts) == 0) && now < r.sendBy && !b.allInMaintenance(): // most worth first, then the newest
+		r.queued, b.lastQueuedAt = true, now
+		index, _ := slices.BinarySearchFunc(b.queued, r.worth, func(x *request, worth float64) int {
 			return cmp.Compare(worth, x.worth)
 		})
-		b.held = slices.Insert(b.held, at, r)
+		b.queued = slices.Insert(b.queued, index, r)
 	default:
-		b.giveUp(r, now)
+		b.endUnserved(r, now)
 	}
 }
 
-func (b *Balancer) send(r *request, u *upstream, now time.Duration) {
+func (b *Balancer) send(req *request, u *upstream, now time.Duration) {
 	timeout := time.Duration(0) // until the client quits: work half done is worth more than work begun anew
-	if u.silent {
-		u.trialAt = now + u.wait
-		u.wait = min(u.wait*waitGrowth, max(u.wait, b.s.Requirements.WarmupTime))
-		if r.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
-			timeout = b.patience(u, r.units)
+	if u.unresponsive {
+		u.nextTrialAt = now + u.backoff
+		u.backoff = min(u.backoff*backoffGrowth, max(u.backoff, b.config.Requirements.WarmupTime))
+		if req.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
+			timeout = b.responseTimeout(u, req.workUnits)
 		}
 	}
-	a := &attempt{r: r, up: u, sentAt: now}
-	r.attempts, r.out, r.held = append(r.attempts, a), r.out+1, false
-	u.outs, u.carried, u.spent = append(u.outs, a), u.carried+r.units, u.spent+max(1, r.units)
-	u.spentAt = now
-	b.sends++
-	b.host.Send(r.ID, u.ID, timeout, r.class.DedupWindow-b.tick)
+	a := &attempt{req: req, up: u, sentAt: now}
+	req.attempts, req.attemptsInFlight, req.queued = append(req.attempts, a), req.attemptsInFlight+1, false
+	u.inFlight, u.periodWork, u.coldLevel = append(u.inFlight, a), u.periodWork+req.workUnits, u.coldLevel+max(1, req.workUnits)
+	u.coldLevelAt = now
+	b.periodSends++
+	b.host.Send(req.ID, u.ID, timeout, req.class.DedupWindow-b.tickInterval)
 }
 
 // giveUp gives the final answer to a request that is not served.
-func (b *Balancer) giveUp(r *request, now time.Duration) {
+func (b *Balancer) endUnserved(r *request, now time.Duration) {
 	if b.finish(r); b.mayRefuse(r) {
-		b.host.Refuse(r.ID, b.advice(now))
+		b.host.Refuse(r.ID, b.retryAfter(now))
 	} else {
 		b.host.Fail(r.ID)
 	}
@@ -198,31 +198,31 @@
 
 // advice is when a client that is refused should come back: by then what is held has had its turns and some
 // upstream may be asked.
-func (b *Balancer) advice(now time.Duration) time.Duration {
-	if !b.s.Limits.RetryAfter {
+func (b *Balancer) retryAfter(now time.Duration) time.Duration {
+	if !b.config.Limits.RetryAfter {
 		return 0
 	}
-	soonest, room := b.s.Limits.MaxRetryAfter, 0.0
-	for _, u := range b.near {
-		if u.member && b.open(u) {
-			at := u.freeAt
-			if u.silent {
-				at = u.trialAt
+	soonest, slots := b.config.Limits.MaxRetryAfter, 0.0
+	for _, u := range b.inUse {
+		if u.inSubset && b.available(u) {
+			availableAt := u.pausedUntil
+			if u.unresponsive {
+				availableAt = u.nextTrialAt
 			}
-			soonest, room = min(soonest, max(0, at-now)), room+max(1, u.bound)
+			soonest, slots = min(soonest, max(0, availableAt-now)), slots+max(1, u.limit)
 		}
 	}
-	turns := time.Duration(b.lat * float64(len(b.held)+1) / max(1, room))
-	return min(max(soonest, turns), b.s.Limits.MaxRetryAfter)
+	queueTime := time.Duration(b.latency * float64(len(b.queued)+1) / max(1, slots))
+	return min(max(soonest, queueTime), b.config.Limits.MaxRetryAfter)
 }
 
 // finish notes that r has its answer, its stream, or nobody who waits. What else is out is not cancelled: the
 // upstream would work on all the same, and a place given up for it would be filled on top of that work.
 func (b *Balancer) finish(r *request) {
-	if t := r.tenant; t != nil && !r.done && !r.over && len(r.attempts) == 0 {
+	if t := r.tenant; t != nil && !r.done && !r.overQuota && len(r.attempts) == 0 {
 		t.level = max(0, t.level-1) // it was given nothing: its next try is the same request
 	}
-	if r.done = true; r.out == 0 {
+	if r.done = true; r.attemptsInFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
@@ -236,10 +236,10 @@
 
 // BodyComplete begins the time of an open request, and that of the attempt that its body went to.
 func (b *Balancer) BodyComplete(now time.Duration, id RequestID) {
-	if r := b.requests[id]; r != nil && r.coming {
-		r.coming, r.deadline = false, now+r.Budget
+	if r := b.requests[id]; r != nil && r.bodyPending {
+		r.bodyPending, r.deadline = false, now+r.Budget
 		for _, a := range r.attempts {
-			a.sentAt, a.passed = now, 0
+			a.sentAt, a.overtakes = now, 0
 		}
 	}
 }
@@ -249,8 +249,8 @@
 func (b *Balancer) ResponseStarted(now time.Duration, o Outcome) {
 	if r := b.requests[o.ID]; r != nil && !r.done && o.Attempt >= 0 && o.Attempt < len(r.attempts) {
 		a := r.attempts[o.Attempt]
-		b.learn(a, o.sanitized(), now)
-		a.begun = true
+		b.recordOutcome(a, o.sanitized(), now)
+		a.responseStarted = true
 		b.finish(r)
 		b.dispatch(now)
 	}
@@ -264,27 +264,27 @@
 	}
 	a := r.attempts[o.Attempt]
 	a.ended, a.neverRan = true, o.Status.NeverRan()
-	r.out, r.spent = r.out-1, r.spent || o.BodyConsumed
-	a.up.outs = slices.DeleteFunc(a.up.outs, func(x *attempt) bool { return x == a })
-	for _, x := range a.up.outs {
+	r.attemptsInFlight, r.bodyConsumed = r.attemptsInFlight-1, r.bodyConsumed || o.BodyConsumed
+	a.up.inFlight = slices.DeleteFunc(a.up.inFlight, func(x *attempt) bool { return x == a })
+	for _, x := range a.up.inFlight {
 		if x.sentAt < a.sentAt && o.Status == OK {
-			x.passed++
+			x.overtakes++
 		}
 	}
-	if !a.begun && b.overdue(a, 1, now) && (o.Status == OK || o.Status == Timeout) { // lost, or only slow?
-		b.doubt *= 1 - smoothing
+	if !a.responseStarted && b.overdue(a, 1, now) && (o.Status == OK || o.Status == Timeout) { // lost, or only slow?
+		b.lateAnswerRatio *= 1 - smoothing
 		if o.Status == OK {
-			b.doubt += smoothing
+			b.lateAnswerRatio += smoothing
 		}
 	}
-	if !a.begun {
-		b.learn(a, o.sanitized(), now)
+	if !a.responseStarted {
+		b.recordOutcome(a, o.sanitized(), now)
 	}
 	switch {
 	case r.done || o.RequestDone || o.Status == OK:
 		b.finish(r)
-	case r.out == 0 && !r.held: // else another copy may still answer, or a turn may come free
-		b.place(r, now)
+	case r.attemptsInFlight == 0 && !r.queued: // else another copy may still answer, or a turn may come free
+		b.route(r, now)
 	}
 	b.dispatch(now)
 }
@@ -292,97 +292,97 @@
 // --- Bands and shares ---
 
 // learn draws from an outcome what it tells about its upstream.
-func (b *Balancer) learn(a *attempt, o Outcome, now time.Duration) {
-	u, r := a.up, a.r
+func (b *Balancer) recordOutcome(a *attempt, o Outcome, now time.Duration) {
+	u, req := a.up, a.req
 	if o.Status == OK || o.Status == Error || o.Status == Rejected {
-		b.answered(u, now)
+		b.markResponsive(u, now)
 	}
-	b.countTurnedAway(u, o.Status, now)
+	b.countRejections(u, o.Status, now)
 	switch o.Status {
 	case OK:
-		w := max(smoothing, 1-u.bound) // the rarer its answers, the more each one tells
+		weight := max(smoothing, 1-u.limit) // the rarer its answers, the more each one tells
 		u.answers++
-		follow(&u.latDev, math.Abs(float64(o.Latency)-u.lat), w) // at first as large as the mean
-		follow(&u.lat, float64(o.Latency), w)
-		follow(&u.units, max(r.units, 0.5), w) // small ones have a fixed part too
-		follow(&b.lat, float64(o.Latency), smoothing)
-		follow(&r.class.lat, float64(o.Latency), smoothing)
-		per, aim := u.lat/u.units, float64(r.class.LatencyTarget)
-		follow(&u.slow, per, smoothing)
-		follow(&u.least, per, leastDrift)
-		follow(&u.calm, u.slow, leastDrift)
-		u.least, u.calm = min(u.least, per), min(u.calm, u.slow)
+		updateMean(&u.latencyDev, math.Abs(float64(o.Latency)-u.latency), weight) // at first as large as the mean
+		updateMean(&u.latency, float64(o.Latency), weight)
+		updateMean(&u.workUnits, max(req.workUnits, 0.5), weight) // small ones have a fixed part too
+		updateMean(&b.latency, float64(o.Latency), smoothing)
+		updateMean(&req.class.latency, float64(o.Latency), smoothing)
+		latencyPerUnit, target := u.latency/u.workUnits, float64(req.class.LatencyTarget)
+		updateMean(&u.smoothedLatency, latencyPerUnit, smoothing)
+		updateMean(&u.minLatency, latencyPerUnit, baselineDrift)
+		updateMean(&u.baselineLatency, u.smoothedLatency, baselineDrift)
+		u.minLatency, u.baselineLatency = min(u.minLatency, latencyPerUnit), min(u.baselineLatency, u.smoothedLatency)
 		// One met crowded knows no better of itself. Cuts go by the least of a slow mean, since single answers
 		// once counted as crowding. Growth goes by the least, or by readings where one answer outweighs the mean.
-		least, calm := min(u.least, cmp.Or(b.least, u.least)), min(u.calm, cmp.Or(b.calm, u.calm))
-		thin := w > 0.5 && u.readings > 0
-		if per > max(crowded*calm, crowdedShare*aim) && !(thin && u.mean < fullUse) {
-			b.shrink(u, now, boundCut)
-		} else if u.bound < b.start { // it has had its rest
-			u.bound = b.start
-		} else if (thin || per < easy*least) && u.mean < fullUse && now-b.tightAt < time.Duration(b.lat) {
-			spare := aim/float64(o.Latency) - 1
-			u.bound = max(u.bound, min(u.bound+min(1, boundGrowth*spare*spare), u.most, b.start*boundMost/boundStart))
+		minLatency, baselineLatency := min(u.minLatency, cmp.Or(b.minLatency, u.minLatency)), min(u.baselineLatency, cmp.Or(b.baselineLatency, u.baselineLatency))
+		sparse := weight > 0.5 && u.readings > 0
+		if latencyPerUnit > max(highLatencyRatio*baselineLatency, highLatencyTargetShare*target) && !(sparse && u.utilMean < fullUtil) {
+			b.cutLimit(u, now, limitCutFactor)
+		} else if u.limit < b.initialLimit { // it has had its rest
+			u.limit = b.initialLimit
+		} else if (sparse || latencyPerUnit < lowLatencyRatio*minLatency) && u.utilMean < fullUtil && now-b.lastQueuedAt < time.Duration(b.latency) {
+			headroom := target/float64(o.Latency) - 1
+			u.limit = max(u.limit, min(u.limit+min(1, limitGrowth*headroom*headroom), u.maxLimit, b.initialLimit*maxFleetLimit/initialFleetLimit))
 		}
 	case Rejected, Timeout:
-		b.shrink(u, now, boundCut*boundCut)
+		b.cutLimit(u, now, limitCutFactor*limitCutFactor)
 	case ConnectFailed, Reset: // down, or its connection table is full: ask less often
-		if !u.silent { // else its trials are spaced already
-			u.freeAt = now + u.wait
-			u.wait = min(u.wait*waitGrowth, b.s.Requirements.WarmupTime)
+		if !u.unresponsive { // else its trials are spaced already
+			u.pausedUntil = now + u.backoff
+			u.backoff = min(u.backoff*backoffGrowth, b.config.Requirements.WarmupTime)
 		}
 	}
 	p := b.pause(u) // one left idle has an attempt in hand: requests come by chance
-	u.freeAt = max(u.freeAt, min(now, max(u.freeAt, a.sentAt-p)+now-a.sentAt)+p)
-	if b.s.Reports != ReportInProbes {
-		b.read(u, o.Load, o.Status == OK, float64(o.Latency)/float64(r.class.LatencyTarget), now)
+	u.pausedUntil = max(u.pausedUntil, min(now, max(u.pausedUntil, a.sentAt-p)+now-a.sentAt)+p)
+	if b.config.Reports != ReportInProbes {
+		b.recordLoad(u, o.Load, o.Status == OK, float64(o.Latency)/float64(req.class.LatencyTarget), now)
 	}
 }
 
 // pause is the wait between attempts at u when its bound is under one.
 func (b *Balancer) pause(u *upstream) time.Duration {
-	return time.Duration(max(0, 1/u.bound-1) * cmp.Or(u.lat, b.lat))
+	return time.Duration(max(0, 1/u.limit-1) * cmp.Or(u.latency, b.latency))
 }
 
 // shrink lowers the bound, once for what was out together.
-func (b *Balancer) shrink(u *upstream, now time.Duration, by float64) {
-	if now-u.cutAt >= time.Duration(u.lat) {
-		u.bound, u.cutAt = max(b.start*boundLeast/boundStart, min(u.bound, float64(len(u.outs)+1))*by), now
+func (b *Balancer) cutLimit(u *upstream, now time.Duration, factor float64) {
+	if now-u.limitCutAt >= time.Duration(u.latency) {
+		u.limit, u.limitCutAt = max(b.initialLimit*minFleetLimit/initialFleetLimit, min(u.limit, float64(len(u.inFlight)+1))*factor), now
 	}
 }
 
 // reckon sets what this balancer had answered in the period against what the upstreams report in all.
 // What others leave idle, since they are down or have few clients, is this one's to use. Quotas are of the
 // whole traffic, and the subset stands for as much of that as of the upstreams.
-func (b *Balancer) reckon(now time.Duration) {
-	var own, all, mine, ring float64
-	for _, u := range b.ups {
-		if b.open(u) {
-			ring++
+func (b *Balancer) updateTrafficShare(now time.Duration) {
+	var ownAnswers, allAnswers, subsetSize, availableCount float64
+	for _, u := range b.upstreams {
+		if b.available(u) {
+			availableCount++
 		}
 	}
-	for _, u := range b.near {
-		if u.member {
-			mine++
+	for _, u := range b.inUse {
+		if u.inSubset {
+			subsetSize++
 		}
-		if u.member && u.answers > 0 && u.last.RequestRate > 0 {
-			own, all = own+u.answers, all+u.last.RequestRate*(now-b.stepAt).Seconds()
+		if u.inSubset && u.answers > 0 && u.lastLoad.RequestRate > 0 {
+			ownAnswers, allAnswers = ownAnswers+u.answers, allAnswers+u.lastLoad.RequestRate*(now-b.periodStart).Seconds()
 		}
 		u.answers = 0
 	}
-	if all > 0 {
-		weight := partWeight
-		if own/all > b.part { // another balancer has gone: what it leaves idle is wanted now
+	if allAnswers > 0 {
+		weight := periodSmoothing
+		if ownAnswers/allAnswers > b.trafficShare { // another balancer has gone: what it leaves idle is wanted now
 			weight *= 2
 		}
-		follow(&b.part, min(own/all, 1), weight)
-		b.quotaPart = b.part * min(mine/max(ring, 1), 1)
+		updateMean(&b.trafficShare, min(ownAnswers/allAnswers, 1), weight)
+		b.quotaShare = b.trafficShare * min(subsetSize/max(availableCount, 1), 1)
 	}
 }
 
 // share is u's part of the traffic, not scaled.
-func (b *Balancer) share(u *upstream, now time.Duration) float64 {
-	return u.weight * u.factor * b.ramp(u, now)
+func (b *Balancer) effectiveWeight(u *upstream, now time.Duration) float64 {
+	return u.weight * u.shareFactor * b.warmupFraction(u, now)
 }
 
 // --- Maintenance ---
@@ -391,126 +391,126 @@
 // it, it is cold from now on, as far as anyone told, and its turn comes at once: what it once was tells
 // nothing.
 func (b *Balancer) SetMaintenance(now time.Duration, id UpstreamID, out bool) {
-	if b.off[id] == out {
+	if b.inMaintenance[id] == out {
 		return
 	}
-	if b.off[id] = out; !out {
-		delete(b.off, id)
+	if b.inMaintenance[id] = out; !out {
+		delete(b.inMaintenance, id)
 	}
 	u := b.byID[id]
 	if u != nil && !out {
-		b.chill(u, now)
-		u.silent, u.wait, u.backAt, u.factor = false, b.tick, now, 1
+		b.markCold(u, now)
+		u.unresponsive, u.backoff, u.maintenanceEndedAt, u.shareFactor = false, b.tickInterval, now, 1
 	}
-	if b.gather(now); u != nil && !out {
-		u.due, u.freeAt = b.turn, now
+	if b.selectSubset(now); u != nil && !out {
+		u.nextTurn, u.pausedUntil = b.virtualTime, now
 	}
 	b.dispatch(now)
 }
 
 // open tells whether discovery and the operators let u be used.
-func (b *Balancer) open(u *upstream) bool { return u.State == Active && !b.off[u.ID] }
+func (b *Balancer) available(u *upstream) bool { return u.State == Active && !b.inMaintenance[u.ID] }
 
 // barred tells whether operators have left out all that could be used: nothing comes free by waiting.
-func (b *Balancer) barred() bool {
-	return len(b.off) > 0 && !slices.ContainsFunc(b.ups, b.open) &&
-		slices.ContainsFunc(b.ups, func(u *upstream) bool { return u.State == Active })
+func (b *Balancer) allInMaintenance() bool {
+	return len(b.inMaintenance) > 0 && !slices.ContainsFunc(b.upstreams, b.available) &&
+		slices.ContainsFunc(b.upstreams, func(u *upstream) bool { return u.State == Active })
 }
 
 // --- Eligibility ---
 
 // patience is how long u may owe every answer before it counts as silent.
-func (b *Balancer) patience(u *upstream, units float64) time.Duration {
-	usual := max(u.lat+patienceDevs*u.latDev, (1+patienceDevs/2)*b.lat) // one lucky answer is no measure
-	return time.Duration(usual*max(1, units)) + b.tick
+func (b *Balancer) responseTimeout(u *upstream, workUnits float64) time.Duration {
+	expected := max(u.latency+responseTimeoutDevs*u.latencyDev, (1+responseTimeoutDevs/2)*b.latency) // one lucky answer is no measure
+	return time.Duration(expected*max(1, workUnits)) + b.tickInterval
 }
 
 // quiet looks for attempts that are lost, which free their place and start elsewhere. Then it looks whether
 // u has fallen silent: attempts are out and nothing has come back for longer than its patience. Its turns are
 // skipped, it gets one trial at a time, and what may run twice starts elsewhere.
-func (b *Balancer) quiet(u *upstream, now time.Duration) {
-	var first *attempt
-	for _, a := range slices.Clone(u.outs) {
-		if a.idle() {
+func (b *Balancer) checkResponsiveness(u *upstream, now time.Duration) {
+	var oldest *attempt
+	for _, a := range slices.Clone(u.inFlight) {
+		if a.transferring() {
 			continue
-		} else if !a.lost && b.overdue(a, 1+lostDoubt*b.doubt, now) {
+		} else if !a.lost && b.overdue(a, 1+lateAnswerAllowance*b.lateAnswerRatio, now) {
 			a.lost = true
 			b.log(now, "lost", "upstream %d owes an answer for %v and gave %d to later ones: starting elsewhere", u.ID,
-				now-a.sentAt, a.passed)
-			b.rescue(a, now)
-		} else if !a.lost && first == nil {
-			first = a
+				now-a.sentAt, a.overtakes)
+			b.retryElsewhere(a, now)
+		} else if !a.lost && oldest == nil {
+			oldest = a
 		}
 	}
-	if u.silent || first == nil {
+	if u.unresponsive || oldest == nil {
 		return
 	}
-	since, p := now-max(first.sentAt, u.answeredAt), b.patience(u, first.r.units)
-	if since <= p {
+	silentFor, timeout := now-max(oldest.sentAt, u.lastAnswerAt), b.responseTimeout(u, oldest.req.workUnits)
+	if silentFor <= timeout {
 		return
 	}
-	u.silent, u.wait, u.trialAt = true, p, now+p
-	b.log(now, "silent", "upstream %d owes every answer for %v: turns skipped, trials only", u.ID, since)
-	for _, a := range slices.Clone(u.outs) {
-		b.rescue(a, now)
+	u.unresponsive, u.backoff, u.nextTrialAt = true, timeout, now+timeout
+	b.log(now, "silent", "upstream %d owes every answer for %v: turns skipped, trials only", u.ID, silentFor)
+	for _, a := range slices.Clone(u.inFlight) {
+		b.retryElsewhere(a, now)
 	}
 }
 
 // overdue tells whether a is out for longer than its upstream's patience, times a factor, while that answers
 // what was sent later and has use to spare. At full use it may as well be a long one in a crowd.
-func (b *Balancer) overdue(a *attempt, times float64, now time.Duration) bool {
-	return a.passed >= lostAfter && a.up.mean < fullUse &&
-		float64(now-a.sentAt) > times*float64(b.patience(a.up, a.r.units))
+func (b *Balancer) overdue(a *attempt, factor float64, now time.Duration) bool {
+	return a.overtakes >= minOvertakes && a.up.utilMean < fullUtil &&
+		float64(now-a.sentAt) > factor*float64(b.responseTimeout(a.up, a.req.workUnits))
 }
 
 // rescue starts the request of a, whose answer does not come, elsewhere, if it may run twice and has no other
 // copy out.
-func (b *Balancer) rescue(a *attempt, now time.Duration) {
-	if r := a.r; r.class.Idempotency == NonIdempotent || r.Streaming || r.done || r.out > 1 {
+func (b *Balancer) retryElsewhere(a *attempt, now time.Duration) {
+	if req := a.req; req.class.Idempotency == NonIdempotent || req.Streaming || req.done || req.attemptsInFlight > 1 {
 		return
-	} else if v, _ := b.pick(r, now); v != nil {
-		b.send(r, v, now) // a second copy
-	} else if !b.s.Limits.Hedging && b.s.Limits.Cancel {
-		b.host.Cancel(r.ID, slices.Index(r.attempts, a))
+	} else if target, _ := b.pick(req, now); target != nil {
+		b.send(req, target, now) // a second copy
+	} else if !b.config.Limits.Hedging && b.config.Limits.Cancel {
+		b.host.Cancel(req.ID, slices.Index(req.attempts, a))
 	}
 }
 
 // answered notes a sign of life.
-func (b *Balancer) answered(u *upstream, now time.Duration) {
-	u.silent, u.answeredAt, u.wait = false, now, b.tick
+func (b *Balancer) markResponsive(u *upstream, now time.Duration) {
+	u.unresponsive, u.lastAnswerAt, u.backoff = false, now, b.tickInterval
 }
 
 // eligible reports whether u may take r at this turn. The bound is a guard: shares decide below it.
 func (b *Balancer) eligible(u *upstream, r *request, now time.Duration) bool {
-	ok := now >= u.freeAt && float64(u.places()) < max(1, math.Round(u.bound))
-	if u.silent { // the safest class goes first as a trial
-		ok = now >= u.trialAt && !r.Streaming && (r.class.Idempotency == b.safest || now >= u.trialAt+u.wait)
+	ok := now >= u.pausedUntil && float64(u.activeAttempts()) < max(1, math.Round(u.limit))
+	if u.unresponsive { // the safest class goes first as a trial
+		ok = now >= u.nextTrialAt && !r.Streaming && (r.class.Idempotency == b.mostIdempotent || now >= u.nextTrialAt+u.backoff)
 	}
-	return ok && (b.ramp(u, now) == 1 || b.coldRoom(u, r, now))
+	return ok && (b.warmupFraction(u, now) == 1 || b.fitsColdBudget(u, r, now))
 }
 
 // --- The pick ---
 
 // pick gives the turn to the upstream due first, an even interleave by shares; legal: any may ever take r.
-func (b *Balancer) pick(r *request, now time.Duration) (best *upstream, legal bool) {
-	var total float64
-	for _, u := range b.near {
-		if !u.member {
+func (b *Balancer) pick(r *request, now time.Duration) (best *upstream, permitted bool) {
+	var totalWeight float64
+	for _, u := range b.inUse {
+		if !u.inSubset {
 			continue
 		}
-		total += b.share(u, now)
-		may := b.maySend(r, u, now)
-		legal = legal || may
-		if may && (best == nil || u.due < best.due) && b.eligible(u, r, now) {
+		totalWeight += b.effectiveWeight(u, now)
+		allowed := b.maySend(r, u, now)
+		permitted = permitted || allowed
+		if allowed && (best == nil || u.nextTurn < best.nextTurn) && b.eligible(u, r, now) {
 			best = u
 		}
 	}
 	if best != nil {
-		b.turn = max(b.turn, best.due)
-		length := total / b.share(best, now)
-		best.due = max(best.due, b.turn-debtRounds*length) + length
+		b.virtualTime = max(b.virtualTime, best.nextTurn)
+		interval := totalWeight / b.effectiveWeight(best, now)
+		best.nextTurn = max(best.nextTurn, b.virtualTime-maxLagRounds*interval) + interval
 	}
-	return best, legal
+	return best, permitted
 }
 
 // --- Admission ---
@@ -519,11 +519,11 @@
 // those ahead of which more are held than turns will come: the next try of their clients stands first. A
 // first try that fits nowhere shows that no later one fits.
 func (b *Balancer) dispatch(now time.Duration) {
-	kept, blocked, barred := b.held[:0], false, b.barred()
-	for _, r := range b.held {
-		if !r.done && (barred || now >= r.sendBy) {
-			b.log(now, "shed", "%d held, no turn free within the aim: refusing", len(b.held))
-			b.giveUp(r, now)
+	kept, blocked, allInMaintenance := b.queued[:0], false, b.allInMaintenance()
+	for _, r := range b.queued {
+		if !r.done && (allInMaintenance || now >= r.sendBy) {
+			b.log(now, "shed", "%d held, no turn free within the aim: refusing", len(b.queued))
+			b.endUnserved(r, now)
 		} else if !r.done && !blocked {
 			if u, _ := b.pick(r, now); u != nil {
 				b.send(r, u, now)
@@ -531,22 +531,22 @@
 			}
 			blocked = len(r.attempts) == 0
 		}
-		if ahead := float64(len(kept)); !r.done && b.pace > 0 && ahead > b.pace*(r.sendBy-now).Seconds() {
-			b.log(now, "buried", "%.0f held ahead, %.1f sent a second: refusing", ahead, b.pace)
-			b.giveUp(r, now)
+		if ahead := float64(len(kept)); !r.done && b.sendRate > 0 && ahead > b.sendRate*(r.sendBy-now).Seconds() {
+			b.log(now, "buried", "%.0f held ahead, %.1f sent a second: refusing", ahead, b.sendRate)
+			b.endUnserved(r, now)
 		}
 		if !r.done {
 			kept = append(kept, r)
 		}
 	}
-	clear(b.held[len(kept):])
-	b.held = kept
+	clear(b.queued[len(kept):])
+	b.queued = kept
 }
 
 // Probed takes a probe's result: a reading only, since a shallow probe proves no more than a process.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
 	if u := b.byID[p.Upstream]; u != nil && p.Status == OK {
-		b.read(u, p.Load.sanitized(), false, 0, now)
+		b.recordLoad(u, p.Load.sanitized(), false, 0, now)
 	}
 }
 
@@ -555,19 +555,19 @@
 // Timer takes a timer that the Balancer has set.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	if token != tickToken { // watchToken; a stray one must not start a second row of ticks
-		b.ask(now)
+		b.callDiscovery(now)
 		return
 	}
-	b.host.SetTimer(b.tick, tickToken)
-	if now-b.stepAt >= bandPeriod {
-		b.step(now)
+	b.host.SetTimer(b.tickInterval, tickToken)
+	if now-b.periodStart >= bandPeriod {
+		b.endPeriod(now)
 	}
-	b.forget()
-	ask := b.s.Reports == ReportInProbes && b.s.Limits.Probes
-	for _, u := range b.near {
-		b.quiet(u, now)
-		if ask && u.member && now-u.probedAt >= bandPeriod {
-			u.probedAt = now
+	b.forgetRemoved()
+	probing := b.config.Reports == ReportInProbes && b.config.Limits.Probes
+	for _, u := range b.inUse {
+		b.checkResponsiveness(u, now)
+		if probing && u.inSubset && now-u.lastProbeAt >= bandPeriod {
+			u.lastProbeAt = now
 			b.host.Probe(u.ID)
 		}
 	}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 	r := b.requests[id]
-	if r == nil || r.out != 1 {
+	if r == nil || r.attemptsInFlight != 1 {
 		t.Fatalf("request %d was not sent", id)
 	}
 	u := r.attempts[0].up
@@ -38,7 +38,7 @@
 }
 
 func TestBands(t *testing.T) {
-	mean, dev := bands([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
+	mean, dev := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
 	}
@@ -46,12 +46,12 @@
 
 func TestAreaIsIntegratedOverTimeNotSamples(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.dev, u.mean, u.readAt = 0.1, 0.3, time.Hour
-	b.integrate(u, time.Hour+250*ms)
-	b.integrate(u, time.Hour+500*ms)
-	if want := 2 * bandAlpha * 0.1 * 0.5; math.Abs(u.area-want) > 1e-9 {
-		t.Errorf("area %v, want %v", u.area, want)
+	u := b.upstreams[0]
+	u.utilDev, u.utilMean, u.integratedAt = 0.1, 0.3, time.Hour
+	b.integrateBand(u, time.Hour+250*ms)
+	b.integrateBand(u, time.Hour+500*ms)
+	if want := 2 * bandHalfWidth * 0.1 * 0.5; math.Abs(u.bandArea-want) > 1e-9 {
+		t.Errorf("area %v, want %v", u.bandArea, want)
 	}
 }
 
@@ -59,48 +59,48 @@
 	b, _ := start(t, settings(), fleet(3))
 	step := func(n int) {
 		for range n {
-			for _, u := range b.ups {
-				u.readings, u.mean = bandWindow, 0.3
+			for _, u := range b.upstreams {
+				u.readings, u.utilMean = bandWindow, 0.3
 			}
-			b.ups[0].mean = 1 // flat readings at full load: no deviation at all
-			b.step(b.stepAt + bandPeriod)
+			b.upstreams[0].utilMean = 1 // flat readings at full load: no deviation at all
+			b.endPeriod(b.periodStart + bandPeriod)
 		}
 	}
 	step(2)
-	first := b.ups[0].factor
+	first := b.upstreams[0].shareFactor
 	step(40)
-	if first >= 1 || first < cutMost*cutMost || b.ups[0].factor != shareFloor || b.ups[1].factor != 1 {
-		t.Errorf("shares left: %v at first, then %v and %v", first, b.ups[0].factor, b.ups[1].factor)
+	if first >= 1 || first < minCutFactor*minCutFactor || b.upstreams[0].shareFactor != minShareFactor || b.upstreams[1].shareFactor != 1 {
+		t.Errorf("shares left: %v at first, then %v and %v", first, b.upstreams[0].shareFactor, b.upstreams[1].shareFactor)
 	}
 	for range 80 {
-		b.ups[0].mean = 0.3
-		b.step(b.stepAt + bandPeriod)
+		b.upstreams[0].utilMean = 0.3
+		b.endPeriod(b.periodStart + bandPeriod)
 	}
-	if b.ups[0].factor != 1 {
-		t.Errorf("share left after rest: %v, want 1", b.ups[0].factor)
+	if b.upstreams[0].shareFactor != 1 {
+		t.Errorf("share left after rest: %v, want 1", b.upstreams[0].shareFactor)
 	}
 }
 
 func TestFleetWideRiseCutsNobody(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for range 10 {
-		for _, u := range b.ups {
-			u.readings, u.mean, u.dev = bandWindow, 0.95, 0.2
+		for _, u := range b.upstreams {
+			u.readings, u.utilMean, u.utilDev = bandWindow, 0.95, 0.2
 		}
-		b.step(b.stepAt + bandPeriod)
+		b.endPeriod(b.periodStart + bandPeriod)
 	}
-	for _, u := range b.ups {
-		if u.factor != 1 {
-			t.Errorf("upstream %d is left %v of its share", u.ID, u.factor)
+	for _, u := range b.upstreams {
+		if u.shareFactor != 1 {
+			t.Errorf("upstream %d is left %v of its share", u.ID, u.shareFactor)
 		}
 	}
 }
 
 func TestRepeatedReportIsNoReading(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
-		b.read(u, Load{Fields: HasUtil, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
+		b.recordLoad(u, Load{Fields: HasUtil, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
 	}
 	if u.readings != 3 {
 		t.Errorf("%d readings, want 3", u.readings)
@@ -123,8 +123,8 @@
 		s := settings()
 		s.Reports = c.via
 		b, _ := start(t, s, fleet(1))
-		if b.read(b.ups[0], c.load, true, c.late, time.Hour); math.Abs(b.ups[0].mean-c.want) > 1e-9 {
-			t.Errorf("%s: reading %v, want %v", c.name, b.ups[0].mean, c.want)
+		if b.recordLoad(b.upstreams[0], c.load, true, c.late, time.Hour); math.Abs(b.upstreams[0].utilMean-c.want) > 1e-9 {
+			t.Errorf("%s: reading %v, want %v", c.name, b.upstreams[0].utilMean, c.want)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 // much as the other.
 func TestHalvedQuotaTakesEveryFourthTurn(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
-	one := b.ups[0]
+	one := b.upstreams[0]
 	turns := func(from, n int) (taken []int) {
 		for i := from; i < from+n; i++ {
 			if serve(t, b, time.Hour, RequestID(i)) == one {
@@ -166,7 +166,7 @@
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
-	if p := b.patience(b.ups[0], 1); p < 150*ms {
+	if p := b.responseTimeout(b.upstreams[0], 1); p < 150*ms {
 		t.Errorf("patience %v after an answer in 50ms", p)
 	}
 }
@@ -174,7 +174,7 @@
 // A request with a short budget was once held past its deadline, since holds are looked at once a tick.
 func TestShortBudgetIsAnsweredInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
-	b.ups[0].freeAt = 2 * time.Hour
+	b.upstreams[0].pausedUntil = 2 * time.Hour
 	b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms})
 	if h.count("refuse id=1") != 1 {
 		t.Errorf("not refused at once: %v", h.lines)
@@ -199,7 +199,7 @@
 		now += 5 * ms
 		id := RequestID(10000 + i)
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second, Cost: ms})
-		if r := b.requests[id]; r != nil && r.out == 1 {
+		if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
 			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestDone: true})
 		}
 	}
@@ -223,24 +223,24 @@
 	}
 	b.Request(time.Hour, Request{ID: 100, Class: "read", Budget: time.Second})
 	u := b.requests[100].attempts[0].up
-	now := time.Hour + b.patience(u, 1) + 20*ms
+	now := time.Hour + b.responseTimeout(u, 1) + 20*ms
 	b.Timer(now, tickToken)
-	if !u.silent || h.count("cancel id=100") != 1 {
-		t.Fatalf("silent %v; %v", u.silent, h.lines[len(h.lines)-4:])
+	if !u.unresponsive || h.count("cancel id=100") != 1 {
+		t.Fatalf("silent %v; %v", u.unresponsive, h.lines[len(h.lines)-4:])
 	}
 	b.Outcome(now, Outcome{ID: 100, Upstream: u.ID, Latency: 400 * ms, Status: Cancelled})
-	if r := b.requests[100]; r == nil || r.out != 1 || r.attempts[1].up == u {
+	if r := b.requests[100]; r == nil || r.attemptsInFlight != 1 || r.attempts[1].up == u {
 		t.Error("the request did not start again elsewhere")
 	}
 }
 
 func TestCrowdedUpstreamRests(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u, now := b.ups[0], time.Hour
+	u, now := b.upstreams[0], time.Hour
 	answer := func(id RequestID, lat time.Duration) {
 		now += time.Second
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
-		if r := b.requests[id]; r != nil && r.out == 1 {
+		if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
 			now += lat
 			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: lat, Status: OK, RequestDone: true})
 		}
@@ -248,16 +248,16 @@
 	for i := range 30 {
 		answer(RequestID(i+1), 80*ms)
 	}
-	healthy := u.bound
+	healthy := u.limit
 	for i := range 20 {
 		answer(RequestID(i+100), 290*ms)
 	}
-	if u.bound > healthy/4 {
-		t.Errorf("bound %v after late answers, %v before", u.bound, healthy)
+	if u.limit > healthy/4 {
+		t.Errorf("bound %v after late answers, %v before", u.limit, healthy)
 	}
-	u.freeAt = now
+	u.pausedUntil = now
 	answer(500, 80*ms)
-	if u.bound < b.start {
+	if u.limit < b.initialLimit {
 		t.Error("the bound does not come back with a good answer")
 	}
 }
@@ -283,20 +283,20 @@
 	s := settings()
 	s.PollDiscovery = true
 	b, h := start(t, s, fleet(1))
-	b.Timer(time.Hour, watchToken)
+	b.Timer(time.Hour, discoveryToken)
 	if h.count("watch") != 1 {
 		t.Fatal("did not subscribe at the start")
 	}
 	var last time.Duration
 	for range 3 {
 		b.Members(time.Hour, ListFailed, nil)
-		if b.watchWait <= last {
-			t.Errorf("wait %v after %v", b.watchWait, last)
+		if b.discoveryBackoff <= last {
+			t.Errorf("wait %v after %v", b.discoveryBackoff, last)
 		}
-		last = b.watchWait
+		last = b.discoveryBackoff
 	}
-	b.Timer(time.Hour, watchToken)
-	if h.count("watch") != 2 || len(b.ups) != 1 {
+	b.Timer(time.Hour, discoveryToken)
+	if h.count("watch") != 2 || len(b.upstreams) != 1 {
 		t.Error("did not ask again, or lost the list")
 	}
 }
@@ -309,7 +309,7 @@
 	b, h := start(t, s, fleet(1))
 	var wait time.Duration
 	h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, n uint64) {
-		if kind == "timer" && n == watchToken {
+		if kind == "timer" && n == discoveryToken {
 			wait = d
 		}
 	}
@@ -326,7 +326,7 @@
 		t.Errorf("three calls more take %v: the new discovery's news has counted as told", all)
 	}
 	b.Members(time.Hour, ListDelta, nil)
-	if b.Members(time.Hour, ListFailed, nil); wait < b.turnOfCalls()/2 {
+	if b.Members(time.Hour, ListFailed, nil); wait < b.callRoundTime()/2 {
 		t.Errorf("once a list has come the next call after a failure comes in %v, with no regard to the others", wait)
 	}
 }
@@ -342,7 +342,7 @@
 			h := &recorder{}
 			var wait time.Duration
 			h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, n uint64) {
-				if kind == "timer" && n == watchToken {
+				if kind == "timer" && n == discoveryToken {
 					wait = d
 				}
 			}
@@ -357,7 +357,7 @@
 			for call := range 8 {
 				began, failed := now, []time.Duration{0, time.Millisecond, 2 * time.Second}[call%3]
 				if call > 0 { // the first is the watch
-					b.Timer(now, watchToken)
+					b.Timer(now, discoveryToken)
 					now += failed
 					b.Members(now, ListFailed, nil)
 				}
@@ -375,13 +375,13 @@
 	for _, balancers := range []int{2, 80} {
 		s := settings()
 		s.PollDiscovery, s.Balancers = true, balancers
-		turn := min(time.Duration(balancers)*callTime, s.Requirements.MaxDiscoveryInterval/2)
+		turn := min(time.Duration(balancers)*discoveryCallTime, s.Requirements.MaxDiscoveryInterval/2)
 		var first, second []time.Duration
 		for s.Rank = range balancers {
 			var waits []time.Duration
 			h := &recorder{}
 			h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, n uint64) {
-				if kind == "timer" && n == watchToken {
+				if kind == "timer" && n == discoveryToken {
 					waits = append(waits, d)
 				}
 			}
@@ -472,7 +472,7 @@
 		now += 20 * ms
 		id := RequestID(i + 1)
 		b.Request(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(odd[i%3+2])})
-		if r := b.requests[id]; r != nil && r.out > 0 {
+		if r := b.requests[id]; r != nil && r.attemptsInFlight > 0 {
 			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
 			o := Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, RequestDone: true, Load: l}
 			b.Outcome(now, o)
@@ -483,9 +483,9 @@
 		b.Timer(now, tickToken)
 		b.Timer(now, 12345)
 	}
-	for _, u := range b.ups {
-		for name, x := range map[string]float64{"mean": u.mean, "dev": u.dev, "weight": u.weight, "latency": u.lat,
-			"bound": u.bound, "due": u.due, "area": u.area, "factor": u.factor} {
+	for _, u := range b.upstreams {
+		for name, x := range map[string]float64{"mean": u.utilMean, "dev": u.utilDev, "weight": u.weight, "latency": u.latency,
+			"bound": u.limit, "due": u.nextTurn, "area": u.bandArea, "factor": u.shareFactor} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
 			}
@@ -569,7 +569,7 @@
 		now += ms
 		id := RequestID(i + 1)
 		bal.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
-		if r := bal.requests[id]; r != nil && r.out > 0 {
+		if r := bal.requests[id]; r != nil && r.attemptsInFlight > 0 {
 			bal.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 		}
 	}
@@ -589,10 +589,10 @@
 		s.Balancers = n
 		b, _ := start(t, s, fleet(1))
 		for i := range 60 {
-			b.shrink(b.ups[0], time.Hour+time.Duration(i)*time.Second, boundCut)
+			b.cutLimit(b.upstreams[0], time.Hour+time.Duration(i)*time.Second, limitCutFactor)
 		}
-		if total := b.ups[0].bound * float64(n); math.Abs(total-boundLeast) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, boundLeast)
+		if total := b.upstreams[0].limit * float64(n); math.Abs(total-minFleetLimit) > 1e-9 {
+			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, minFleetLimit)
 		}
 	}
 }
@@ -600,16 +600,16 @@
 // A balancer that started while a server was choked once took its slow answers for usual.
 func TestUpstreamMetCrowdedIsJudgedByTheFleet(t *testing.T) {
 	b, _ := start(t, settings(), fleet(8))
-	for _, u := range b.ups {
-		u.readings, u.least, u.calm = 1, float64(60*ms), float64(60*ms)
+	for _, u := range b.upstreams {
+		u.readings, u.minLatency, u.baselineLatency = 1, float64(60*ms), float64(60*ms)
 	}
-	u := b.ups[3]
-	u.least, u.calm = 0, 0
-	b.step(time.Hour + bandPeriod)
-	a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
-	b.learn(a, Outcome{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
-	if u.bound >= b.start {
-		t.Errorf("bound %v after an answer three times as slow as the fleet's least", u.bound)
+	u := b.upstreams[3]
+	u.minLatency, u.baselineLatency = 0, 0
+	b.endPeriod(time.Hour + bandPeriod)
+	a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
+	b.recordOutcome(a, Outcome{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
+	if u.limit >= b.initialLimit {
+		t.Errorf("bound %v after an answer three times as slow as the fleet's least", u.limit)
 	}
 }
 
@@ -619,8 +619,8 @@
 	s.Balancers = 8 // all of them use all upstreams
 	b, _ := start(t, s, fleet(20))
 	later := 0
-	for _, u := range b.ups {
-		if u.freeAt > time.Hour+b.pause(u)/10 { // 50 ms were a tenth of the pause before there were subsets
+	for _, u := range b.upstreams {
+		if u.pausedUntil > time.Hour+b.pause(u)/10 { // 50 ms were a tenth of the pause before there were subsets
 			later++
 		}
 	}
@@ -639,12 +639,12 @@
 		for i := range 10 { // more than it may have out at once
 			b.Request(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Budget: time.Second})
 		}
-		for _, u := range b.ups {
-			got[u.ID] += len(u.outs)
+		for _, u := range b.upstreams {
+			got[u.ID] += len(u.inFlight)
 		}
 	}
 	for id, n := range got {
-		if n > 2*sharers {
+		if n > 2*balancersPerUpstream {
 			t.Errorf("upstream %d was sent %d at once by 24 balancers", id, n)
 		}
 	}
@@ -657,12 +657,12 @@
 		grows bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.mean, u.readings, u.least, b.tightAt = c.use, bandWindow, float64(50*ms), time.Hour
-		before := u.bound
-		b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 50 * ms, Status: OK}, time.Hour)
-		if (u.bound > before) != c.grows {
-			t.Errorf("use %v: bound %v, then %v", c.use, before, u.bound)
+		u := b.upstreams[0]
+		u.utilMean, u.readings, u.minLatency, b.lastQueuedAt = c.use, bandWindow, float64(50*ms), time.Hour
+		before := u.limit
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 50 * ms, Status: OK}, time.Hour)
+		if (u.limit > before) != c.grows {
+			t.Errorf("use %v: bound %v, then %v", c.use, before, u.limit)
 		}
 	}
 }
@@ -671,15 +671,15 @@
 // weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
 func TestIdleUpstreamOfHighWeightIsNotTakenForCrowded(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
-	for _, u := range b.ups {
-		u.mean, u.readings, u.least, u.units, u.lat = 0.2, bandWindow, float64(50*ms), 1, float64(50*ms)
+	for _, u := range b.upstreams {
+		u.utilMean, u.readings, u.minLatency, u.workUnits, u.latency = 0.2, bandWindow, float64(50*ms), 1, float64(50*ms)
 	}
-	b.step(time.Hour)
-	u := b.ups[0]
-	u.weight, u.bound, b.tightAt = 3, 2, time.Hour
-	b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 55 * ms, Status: OK}, time.Hour)
-	if u.bound <= 2 {
-		t.Errorf("bound %v, want more than 2", u.bound)
+	b.endPeriod(time.Hour)
+	u := b.upstreams[0]
+	u.weight, u.limit, b.lastQueuedAt = 3, 2, time.Hour
+	b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 55 * ms, Status: OK}, time.Hour)
+	if u.limit <= 2 {
+		t.Errorf("bound %v, want more than 2", u.limit)
 	}
 }
 
@@ -688,13 +688,13 @@
 	set := settings()
 	set.Balancers = 8
 	b, _ := start(t, set, fleet(4))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	for i := range 30 {
 		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: lat, Status: OK}, now)
-		if i > 8 && u.bound < b.start {
-			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.bound, b.start)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: lat, Status: OK}, now)
+		if i > 8 && u.limit < b.initialLimit {
+			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -704,22 +704,22 @@
 	set := settings()
 	set.Balancers = 1
 	b, _ := start(t, set, fleet(1))
-	u := b.ups[0]
-	u.least = float64(10 * ms)
+	u := b.upstreams[0]
+	u.minLatency = float64(10 * ms)
 	answers := func(now time.Duration) {
 		for range 50 {
-			b.tightAt = now
-			b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
+			b.lastQueuedAt = now
+			b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
 		}
 	}
 	answers(time.Hour)
-	if u.bound != boundStart {
-		t.Errorf("bound %v before the first period has passed, want %v", u.bound, boundStart)
+	if u.limit != initialFleetLimit {
+		t.Errorf("bound %v before the first period has passed, want %v", u.limit, initialFleetLimit)
 	}
-	b.step(time.Hour + bandPeriod)
+	b.endPeriod(time.Hour + bandPeriod)
 	answers(time.Hour + bandPeriod)
-	if u.bound != 2*boundStart {
-		t.Errorf("bound %v in the next period, want %v", u.bound, 2*boundStart)
+	if u.limit != 2*initialFleetLimit {
+		t.Errorf("bound %v in the next period, want %v", u.limit, 2*initialFleetLimit)
 	}
 }
 
@@ -736,11 +736,11 @@
 		{"twice the calm latency, most of the aim", 240 * ms, 120 * ms, true},
 	} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.lat, u.units, u.slow, u.calm = float64(c.lat), 1, float64(c.calm), float64(c.calm)
-		b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: c.lat, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.short {
-			t.Errorf("%s: bound %v, at first %v", c.name, u.bound, b.start)
+		u := b.upstreams[0]
+		u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency = float64(c.lat), 1, float64(c.calm), float64(c.calm)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: c.lat, Status: OK}, 2*time.Hour)
+		if (u.limit < b.initialLimit) != c.short {
+			t.Errorf("%s: bound %v, at first %v", c.name, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -761,10 +761,10 @@
 		used := map[UpstreamID]int{}
 		for s.Rank = range c.balancers {
 			b, _ := start(t, s, fleet(c.upstreams))
-			if n := len(b.near); n < c.least || n > c.most {
+			if n := len(b.inUse); n < c.least || n > c.most {
 				t.Fatalf("%+v: a balancer uses %d upstreams", c, n)
 			}
-			for _, u := range b.near {
+			for _, u := range b.inUse {
 				used[u.ID]++
 			}
 		}
@@ -782,23 +782,23 @@
 	s := settings()
 	s.Balancers = 40
 	b, _ := start(t, s, fleet(40))
-	before := slices.Clone(b.near)
-	before[0].silent = true
-	before[1].cold, before[1].coldAt = true, time.Hour
-	b.gather(time.Hour)
-	if len(b.near) != len(before)+2 {
-		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.near))
+	before := slices.Clone(b.inUse)
+	before[0].unresponsive = true
+	before[1].cold, before[1].coldSince = true, time.Hour
+	b.selectSubset(time.Hour)
+	if len(b.inUse) != len(before)+2 {
+		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.inUse))
 	}
 	gone := before[2].Upstream
 	gone.State = Draining
 	b.Members(time.Hour, ListDelta, []Upstream{gone})
-	if before[2].member || len(b.near) != len(before)+2 {
-		t.Errorf("a draining upstream was not replaced: %d in use", len(b.near))
+	if before[2].inSubset || len(b.inUse) != len(before)+2 {
+		t.Errorf("a draining upstream was not replaced: %d in use", len(b.inUse))
 	}
-	before[0].silent, before[1].cold = false, false
-	b.gather(time.Hour)
-	if len(b.near) != len(before) {
-		t.Errorf("%d in use after all came back, %d at first", len(b.near), len(before))
+	before[0].unresponsive, before[1].cold = false, false
+	b.selectSubset(time.Hour)
+	if len(b.inUse) != len(before) {
+		t.Errorf("%d in use after all came back, %d at first", len(b.inUse), len(before))
 	}
 }
 
@@ -820,9 +820,9 @@
 		}
 	}
 	now := 2 * time.Hour
-	b.ups[0].freeAt = now + time.Minute
+	b.upstreams[0].pausedUntil = now + time.Minute
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
-	if r := b.requests[1000]; r == nil || !r.held || r.units > 0.5 {
+	if r := b.requests[1000]; r == nil || !r.queued || r.workUnits > 0.5 {
 		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
 	}
 }
@@ -838,13 +838,13 @@
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
-		u := b.ups[0]
-		u.readings, u.mean, u.least, u.slow, u.calm = bandWindow, c.use, float64(30*ms), float64(60*ms), float64(60*ms)
-		b.tightAt = time.Hour
-		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
-		b.learn(a, Outcome{Latency: 60 * ms, Status: OK}, time.Hour) // twice the least
-		if (u.bound > b.start) != c.grows {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+		u := b.upstreams[0]
+		u.readings, u.utilMean, u.minLatency, u.smoothedLatency, u.baselineLatency = bandWindow, c.use, float64(30*ms), float64(60*ms), float64(60*ms)
+		b.lastQueuedAt = time.Hour
+		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
+		b.recordOutcome(a, Outcome{Latency: 60 * ms, Status: OK}, time.Hour) // twice the least
+		if (u.limit > b.initialLimit) != c.grows {
+			t.Errorf("%+v: bound %v, at first %v", c, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -866,7 +866,7 @@
 		b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
 		now := time.Hour + time.Second
 		if c.tight {
-			b.tightAt = now
+			b.lastQueuedAt = now
 		}
 		b.Request(now, Request{ID: 2, Class: "write", Budget: c.budget})
 		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
@@ -890,14 +890,14 @@
 		list := fleet(3)
 		list[2].StartedAt = time.Hour
 		b.Members(time.Hour, ListCached, list)
-		b.carry = 0.2 // requests a second that a warm upstream takes from this balancer
+		b.capacityPerWeight = 0.2 // requests a second that a warm upstream takes from this balancer
 		for i := range 150 {
-			for _, u := range b.ups[:2] {
-				u.freeAt = 2 * time.Hour // all the traffic asks for the cold one
+			for _, u := range b.upstreams[:2] {
+				u.pausedUntil = 2 * time.Hour // all the traffic asks for the cold one
 			}
 			now := time.Hour + time.Duration(i)*10*ms
 			b.Request(now, Request{ID: RequestID(i + 1), Class: "read", Budget: time.Second})
-			if r := b.requests[RequestID(i+1)]; r != nil && r.out > 0 {
+			if r := b.requests[RequestID(i+1)]; r != nil && r.attemptsInFlight > 0 {
 				b.Outcome(now, Outcome{ID: r.ID, Upstream: 3, Latency: 5 * ms, Status: OK, RequestDone: true})
 			}
 		}
@@ -925,9 +925,9 @@
 	u, before := b.byID[1], h.count("send")
 	for i := range 200 {
 		now += 10 * ms
-		b.byID[2].freeAt = now + time.Hour // all the traffic asks for the cold one
+		b.byID[2].pausedUntil = now + time.Hour // all the traffic asks for the cold one
 		b.Request(now, Request{ID: RequestID(1000 + i), Class: "read", Budget: time.Second})
-		if r := b.requests[RequestID(1000+i)]; r != nil && r.out > 0 {
+		if r := b.requests[RequestID(1000+i)]; r != nil && r.attemptsInFlight > 0 {
 			b.Outcome(now, Outcome{ID: r.ID, Upstream: u.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 		}
 	}
@@ -944,13 +944,13 @@
 		list := fleet(2)
 		list[0].StartedAt = time.Hour
 		b, h := start(t, s, list)
-		b.carry = 20
+		b.capacityPerWeight = 20
 		for i := range 300 {
 			now := time.Hour + time.Duration(i)*10*ms
-			b.byID[2].freeAt = now + time.Hour // all the traffic asks for the cold one
+			b.byID[2].pausedUntil = now + time.Hour // all the traffic asks for the cold one
 			id := RequestID(i + 1)
 			b.Request(now, Request{ID: id, Class: "read", Budget: time.Second})
-			if r := b.requests[id]; r != nil && r.out > 0 {
+			if r := b.requests[id]; r != nil && r.attemptsInFlight > 0 {
 				load := Load{Fields: HasUtil | HasRequestRate, Util: use, RequestRate: float64(i)}
 				b.Outcome(now, Outcome{ID: id, Upstream: 1, Latency: 5 * ms, Status: OK, RequestDone: true, Load: load})
 			}
@@ -976,12 +976,12 @@
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
-		u := b.ups[0]
-		u.readings, u.mean, u.lat, u.units, u.slow, u.calm = 1, c.use, float64(250*ms), 1, float64(60*ms), float64(60*ms)
-		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
-		b.learn(a, Outcome{Latency: 250 * ms, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.cut {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+		u := b.upstreams[0]
+		u.readings, u.utilMean, u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency = 1, c.use, float64(250*ms), 1, float64(60*ms), float64(60*ms)
+		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
+		b.recordOutcome(a, Outcome{Latency: 250 * ms, Status: OK}, 2*time.Hour)
+		if (u.limit < b.initialLimit) != c.cut {
+			t.Errorf("%+v: bound %v, at first %v", c, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -989,19 +989,19 @@
 // Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and refused at others.
 func TestIdleUpstreamHasOneAttemptInHand(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.bound, u.lat = 0.2, float64(100*ms)
+	u := b.upstreams[0]
+	u.limit, u.latency = 0.2, float64(100*ms)
 	answer := func(sent time.Duration) {
-		u.bound = 0.2
-		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u, sentAt: sent}
-		b.learn(a, Outcome{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		u.limit = 0.2
+		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u, sentAt: sent}
+		b.recordOutcome(a, Outcome{Latency: 100 * ms, Status: Error}, sent+100*ms)
 	}
 	now := 2 * time.Hour // idle for long
-	if answer(now); u.freeAt > now+100*ms {
-		t.Errorf("after one attempt: free after %v", u.freeAt-now)
+	if answer(now); u.pausedUntil > now+100*ms {
+		t.Errorf("after one attempt: free after %v", u.pausedUntil-now)
 	}
-	if answer(now + 100*ms); u.freeAt < now+500*ms {
-		t.Errorf("after two in a row: free after %v", u.freeAt-now)
+	if answer(now + 100*ms); u.pausedUntil < now+500*ms {
+		t.Errorf("after two in a row: free after %v", u.pausedUntil-now)
 	}
 }
 
@@ -1011,12 +1011,12 @@
 	s := settings()
 	s.Balancers = 8
 	b, _ := start(t, s, fleet(1))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	for i, lat := range []time.Duration{100, 110, 100, 90, 10, 10} {
-		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
-		b.learn(a, Outcome{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
+		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
+		b.recordOutcome(a, Outcome{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
-	if p := b.patience(u, 1); p < 200*ms {
+	if p := b.responseTimeout(u, 1); p < 200*ms {
 		t.Errorf("patience %v where answers take 100ms as a rule", p)
 	}
 }
@@ -1028,17 +1028,17 @@
 		set := settings()
 		set.Balancers = balancers
 		b, _ := start(t, set, fleet(1))
-		u := b.ups[0]
-		u.mean, u.readings, u.least = 0.2, bandWindow, float64(10*ms)
+		u := b.upstreams[0]
+		u.utilMean, u.readings, u.minLatency = 0.2, bandWindow, float64(10*ms)
 		for now := time.Hour; now < time.Hour+20*bandPeriod; now += bandPeriod {
-			b.tightAt = now
+			b.lastQueuedAt = now
 			for range 50 {
-				b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
+				b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
 			}
-			b.step(now)
+			b.endPeriod(now)
 		}
-		if total := u.bound * float64(balancers); math.Abs(total-boundMost) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", balancers, total, boundMost)
+		if total := u.limit * float64(balancers); math.Abs(total-maxFleetLimit) > 1e-9 {
+			t.Errorf("%d balancers: %v attempts over all, want %v", balancers, total, maxFleetLimit)
 		}
 	}
 }
--- a/drain_test.go
+++ b/drain_test.go
@@ -165,7 +165,7 @@
 		if n.now-drainAt > releaseDrain {
 			status = ConnectFailed
 		} else if late := n.now - drainAt - toldAfter; late > releaseGrace {
-			n.late = append(n.late, fmt.Sprintf("balancer %d, upstream %d, %v late", n.b.s.Rank, up, late))
+			n.late = append(n.late, fmt.Sprintf("balancer %d, upstream %d, %v late", n.b.config.Rank, up, late))
 		}
 	}
 	n.after(took, func() {
@@ -232,7 +232,7 @@
 	r.runUntil(back + killedAfter)
 	var killed []*releaseNode
 	for rank, n := range r.nodes {
-		if mixed(uint64(rank)+r.seed)%10 < releaseKilled {
+		if hashID(uint64(rank)+r.seed)%10 < releaseKilled {
 			n.killed = true
 			killed = append(killed, n)
 		}
@@ -240,12 +240,12 @@
 	r.runUntil(r.now + releaseRestart)
 	restarted := r.now
 	for _, n := range killed {
-		r.start(n.b.s.Rank, n.revision, n.states)
+		r.start(n.b.config.Rank, n.revision, n.states)
 	}
 	r.runUntil(back + releaseLasts)
 	for _, n := range killed {
 		took := releaseLasts
-		if heard := r.nodes[n.b.s.Rank].heardAt; heard > restarted {
+		if heard := r.nodes[n.b.config.Rank].heardAt; heard > restarted {
 			took = heard - restarted
 		}
 		last = max(last, took)
@@ -322,13 +322,13 @@
 		}
 		return sent
 	}
-	if sent := turnAway(t, true, 1); sent[1] > turnedAwayLimit {
+	if sent := turnAway(t, true, 1); sent[1] > rejectionLimit {
 		t.Errorf("in doubt: %d sent to the one that turns all away", sent[1])
 	}
-	if sent := turnAway(t, false, 1); sent[1] <= turnedAwayLimit {
+	if sent := turnAway(t, false, 1); sent[1] <= rejectionLimit {
 		t.Errorf("list heard: %d sent to the one that turns all away", sent[1])
 	}
-	if sent := turnAway(t, true, 4); sent[1] <= turnedAwayLimit {
+	if sent := turnAway(t, true, 4); sent[1] <= rejectionLimit {
 		t.Errorf("in doubt, all turn all away: %d sent to the first", sent[1])
 	}
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -123,7 +123,7 @@
 }
 
 func (f *follower) SetTimer(d time.Duration, token uint64) {
-	if token == watchToken { // nothing is served here: the rest of the housekeeping changes nothing
+	if token == discoveryToken { // nothing is served here: the rest of the housekeeping changes nothing
 		f.g.after(d, func() { f.b.Timer(f.g.now, token) })
 	}
 }
@@ -155,7 +155,7 @@
 	g.runUntil(g.now + time.Minute)
 	for _, f := range all {
 		if !f.watches {
-			t.Fatalf("balancer %d of %d has no list after a minute", f.b.s.Rank, n)
+			t.Fatalf("balancer %d of %d has no list after a minute", f.b.config.Rank, n)
 		}
 	}
 	return g, all
@@ -227,7 +227,7 @@
 			g := &turnRegistry{fleetClock: &fleetClock{now: time.Hour}, each: 29 * ms}
 			var all []*follower
 			for rank := range n {
-				if mixed(uint64(rank)+seed*uint64(n))%3 != 0 {
+				if hashID(uint64(rank)+seed*uint64(n))%3 != 0 {
 					continue
 				}
 				f := &follower{g: g}
--- a/reload_test.go
+++ b/reload_test.go
@@ -122,7 +122,7 @@
 				t.Fatalf("%+v: not sent: %v", c, h.lines)
 			}
 			b.Outcome(time.Hour+500*ms, Outcome{ID: 1, Upstream: 1, Latency: 500 * ms, Status: Error})
-			b.ups[0].freeAt = 0
+			b.upstreams[0].pausedUntil = 0
 			b.dispatch(time.Hour + 500*ms)
 			if n := h.count("send id=1"); n != c.sends {
 				t.Errorf("%s, heard after the change %v: %d sends, want %d: %v", c.class, heardAfter, n, c.sends, h.lines)
@@ -138,36 +138,36 @@
 	for i := range RequestID(400) {
 		now += 5 * ms
 		b.Request(now, Request{ID: i + 1, Class: "write", Tenant: "small", Budget: time.Second})
-		if r := b.requests[i+1]; r != nil && r.out == 1 {
+		if r := b.requests[i+1]; r != nil && r.attemptsInFlight == 1 {
 			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true,
 				Load: Load{Fields: HasUtil, Util: float64(i%7) / 10}})
 		}
 		b.Timer(now, tickToken)
 	}
 	classStatistics, level, ups := *b.classes["write"], *b.tenants["small"], []upstream{}
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		ups = append(ups, *u)
 	}
-	if classStatistics.lat == 0 || level.level < 1 || ups[0].readings == 0 {
+	if classStatistics.latency == 0 || level.level < 1 || ups[0].readings == 0 {
 		t.Fatal("nothing was learnt")
 	}
-	lat, carry, part, turn := b.lat, b.carry, b.part, b.turn
+	lat, carry, part, turn := b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
 	reconfigure(t, b, now, settings(), func(s *Settings) {
 		s.Classes[2].Worth, s.Tenants[1].Quota, s.Limits.MaxAttempts, s.OverQuotaWorth = 7, 40, 2, 0.5
 	})
-	for i, u := range b.ups {
+	for i, u := range b.upstreams {
 		was := ups[i]
-		if u.mean != was.mean || u.dev != was.dev || u.bound != was.bound || u.lat != was.lat || u.spent != was.spent ||
-			u.factor != was.factor || u.due != was.due || u.readings != was.readings {
+		if u.utilMean != was.utilMean || u.utilDev != was.utilDev || u.limit != was.limit || u.latency != was.latency || u.coldLevel != was.coldLevel ||
+			u.shareFactor != was.shareFactor || u.nextTurn != was.nextTurn || u.readings != was.readings {
 			t.Errorf("upstream %d: %+v, was %+v", u.ID, u, was)
 		}
 	}
-	if *b.classes["write"] != classStatistics || *b.tenants["small"] != level || b.lat != lat || b.carry != carry ||
-		b.part != part || b.turn != turn {
+	if *b.classes["write"] != classStatistics || *b.tenants["small"] != level || b.latency != lat || b.capacityPerWeight != carry ||
+		b.trafficShare != part || b.virtualTime != turn {
 		t.Error("what was learnt of classes, tenants or the fleet has changed")
 	}
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
-	if r := b.requests[1000]; r == nil || r.class.Worth != 7 || r.class.lat != classStatistics.lat {
+	if r := b.requests[1000]; r == nil || r.class.Worth != 7 || r.class.latency != classStatistics.latency {
 		t.Errorf("the new terms do not hold: %+v", r)
 	}
 }
@@ -178,7 +178,7 @@
 	over := func() (n int) {
 		b.tenants = map[string]*tenant{}
 		for range 60 {
-			if b.over(&request{Request: Request{Tenant: "small"}}, time.Hour) {
+			if b.overQuota(&request{Request: Request{Tenant: "small"}}, time.Hour) {
 				n++
 			}
 		}
@@ -196,8 +196,8 @@
 		t.Errorf("one attempt is allowed: %v", h.lines)
 	}
 	members := func() (n int) {
-		for _, u := range b.ups {
-			if u.member {
+		for _, u := range b.upstreams {
+			if u.inSubset {
 				n++
 			}
 		}
@@ -217,10 +217,10 @@
 	s := many(400, 2000)
 	b, _ := start(t, s, fleet(4))
 	for i, c := range s.Classes {
-		b.class(c.Name, nil).lat = float64(i + 1)
+		b.class(c.Name, nil).latency = float64(i + 1)
 	}
 	for _, x := range s.Tenants {
-		b.over(&request{Request: Request{Tenant: x.Name}}, time.Hour)
+		b.overQuota(&request{Request: Request{Tenant: x.Name}}, time.Hour)
 	}
 	few := func(s *Settings) { s.Classes, s.Tenants = s.Classes[:3], s.Tenants[:2] }
 	reconfigure(t, b, time.Hour, s, few)
@@ -228,11 +228,11 @@
 	all, ticks := learnt(), 0
 	tick := func() {
 		ticks++
-		b.Timer(time.Hour+time.Duration(ticks)*b.tick, tickToken)
+		b.Timer(time.Hour+time.Duration(ticks)*b.tickInterval, tickToken)
 	}
 	tick()
-	if gone := all - learnt(); gone != forgetMost || len(b.classes) == 3 {
-		t.Errorf("%d names are forgotten in a tick, want %d; %d classes are left", gone, forgetMost, len(b.classes))
+	if gone := all - learnt(); gone != removalsPerTick || len(b.classes) == 3 {
+		t.Errorf("%d names are forgotten in a tick, want %d; %d classes are left", gone, removalsPerTick, len(b.classes))
 	}
 	level, kept := *b.tenants["t0"], map[string]classStatistics{}
 	for name, h := range b.classes {
@@ -243,8 +243,8 @@
 	for range 20 {
 		tick()
 	}
-	if learnt() != back || *b.tenants["t0"] != level || len(b.gone) > 0 {
-		t.Errorf("%d names are known, %d were as they came back; %d changes left", learnt(), back, len(b.gone))
+	if learnt() != back || *b.tenants["t0"] != level || len(b.pendingRemovals) > 0 {
+		t.Errorf("%d names are known, %d were as they came back; %d changes left", learnt(), back, len(b.pendingRemovals))
 	}
 	for name, was := range kept {
 		if h := b.classes[name]; h == nil || *h != was {
@@ -255,7 +255,7 @@
 	for range 20 {
 		tick()
 	}
-	if len(b.classes) != 3 || len(b.tenants) != 2 || len(b.gone) > 0 {
+	if len(b.classes) != 3 || len(b.tenants) != 2 || len(b.pendingRemovals) > 0 {
 		t.Errorf("%d classes and %d tenants are remembered of 3 and 2", len(b.classes), len(b.tenants))
 	}
 }
@@ -277,7 +277,7 @@
 	}); got > 0 {
 		t.Errorf("%v allocations", got)
 	}
-	if len(b.classes)+len(b.tenants)+len(b.gone) > 0 || len(h.lines) != n {
+	if len(b.classes)+len(b.tenants)+len(b.pendingRemovals) > 0 || len(h.lines) != n {
 		t.Errorf("the swap has touched %d classes, %d tenants, and asked for %v", len(b.classes), len(b.tenants), h.lines[n:])
 	}
 	// One swap passes over nothing: a thousand take far less than one look at each name would, a thousand times.
--- a/rules_test.go
+++ b/rules_test.go
@@ -412,7 +412,7 @@
 		}
 		id := RequestID(i + 1)
 		b.Request(now, Request{ID: id, Class: "read", Budget: 100 * ms, Key: uint64(i), HasKey: true})
-		if r := b.requests[id]; r != nil && r.out > 0 {
+		if r := b.requests[id]; r != nil && r.attemptsInFlight > 0 {
 			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, RequestDone: true})
 		}
 		if i%20 == 0 {
@@ -420,7 +420,7 @@
 		}
 	}
 	b.Timer(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.held) > 0 || len(b.ups) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.held), len(b.ups))
+	if len(b.requests)+len(b.queued) > 0 || len(b.upstreams) != 4 || len(b.byID) != 4 {
+		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.queued), len(b.upstreams))
 	}
 }
--- a/service_test.go
+++ b/service_test.go
@@ -47,7 +47,7 @@
 		class := []string{"read", "write", "read"}[i%3]
 		b.Request(time.Hour, Request{ID: i + 1, Class: class, Budget: time.Second, Cost: time.Duration(10+i%4) * ms})
 	}
-	want := slices.Clone(b.held)
+	want := slices.Clone(b.queued)
 	slices.SortStableFunc(want, func(x, y *request) int {
 		if x.worth != y.worth {
 			if x.worth > y.worth {
@@ -57,8 +57,8 @@
 		}
 		return int(y.ID) - int(x.ID)
 	})
-	if len(want) != 60 || !slices.Equal(want, b.held) {
-		t.Errorf("%d held, out of order", len(b.held))
+	if len(want) != 60 || !slices.Equal(want, b.queued) {
+		t.Errorf("%d held, out of order", len(b.queued))
 	}
 }
 
@@ -79,7 +79,7 @@
 		for k := range 3 {
 			id := RequestID(3*i + k + 1)
 			b.Request(now, Request{ID: id, Class: "write", Tenant: []string{"", "small", "big"}[k], Key: uint64(id), HasKey: true, Budget: 300 * ms})
-			if r := b.requests[id]; r != nil && r.out == 1 {
+			if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
 				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 			}
 		}
@@ -88,14 +88,14 @@
 	now += time.Minute
 	b.Timer(now, tickToken)
 	b.Timer(now+bandPeriod, tickToken)
-	for what, n := range map[string]int{"upstreams": len(b.byID), "their list": len(b.ups), "the subset": len(b.near)} {
+	for what, n := range map[string]int{"upstreams": len(b.byID), "their list": len(b.upstreams), "the subset": len(b.inUse)} {
 		if n != 4 {
 			t.Errorf("%s: %d, want 4", what, n)
 		}
 	}
-	if len(b.requests) > 0 || len(b.held) > 0 || len(b.tenants) != 2 || len(b.logged) > 5 {
+	if len(b.requests) > 0 || len(b.queued) > 0 || len(b.tenants) != 2 || len(b.lastLogged) > 5 {
 		t.Errorf("left: %d requests, %d held, %d tenants, %d kinds of log line",
-			len(b.requests), len(b.held), len(b.tenants), len(b.logged))
+			len(b.requests), len(b.queued), len(b.tenants), len(b.lastLogged))
 	}
 }
 
@@ -106,8 +106,8 @@
 	for i := range RequestID(10) {
 		b.Request(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
-	if n := h.count("send"); b.start != 1.5 || n != 4 {
-		t.Errorf("%d sent at a bound of %v for each of two, want 4", n, b.start)
+	if n := h.count("send"); b.initialLimit != 1.5 || n != 4 {
+		t.Errorf("%d sent at a bound of %v for each of two, want 4", n, b.initialLimit)
 	}
 }
 
@@ -115,19 +115,19 @@
 // place until it ends, or the upstream is sent more than it can do.
 func TestAttemptKeepsItsPlaceWhenItsClientLeaves(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	var id RequestID
-	for h.count("send") == len(u.outs) { // until no turn is free
+	for h.count("send") == len(u.inFlight) { // until no turn is free
 		id++
-		if b.Request(time.Hour, Request{ID: id, Class: "read", Budget: time.Second}); len(b.held) > 0 {
+		if b.Request(time.Hour, Request{ID: id, Class: "read", Budget: time.Second}); len(b.queued) > 0 {
 			break
 		}
 	}
-	full := len(u.outs)
+	full := len(u.inFlight)
 	b.ClientGone(time.Hour+ms, 1)
 	b.Timer(time.Hour+2*ms, tickToken)
-	if h.count("cancel") != 0 || len(u.outs) != full || h.count("send") != full {
-		t.Errorf("%d out and %d sent, of %d that fit; %d cancelled", len(u.outs), h.count("send"), full, h.count("cancel"))
+	if h.count("cancel") != 0 || len(u.inFlight) != full || h.count("send") != full {
+		t.Errorf("%d out and %d sent, of %d that fit; %d cancelled", len(u.inFlight), h.count("send"), full, h.count("cancel"))
 	}
 	b.Outcome(time.Hour+60*ms, Outcome{ID: 1, Upstream: u.ID, Latency: 60 * ms, Status: OK, RequestDone: true})
 	if h.count("send") != full+1 || len(b.requests) != full {
@@ -139,14 +139,14 @@
 func TestTenantOverItsQuotaKeepsItsShare(t *testing.T) {
 	a, within := &tenant{}, 0
 	for now := time.Duration(0); now < 60*time.Second; now += 10 * ms {
-		if !a.over(now, 50) && now >= 30*time.Second {
+		if !a.overQuota(now, 50) && now >= 30*time.Second {
 			within++
 		}
 	}
 	if within < 1495 || within > 1505 {
 		t.Errorf("%d of 3000 requests are within a quota of 1500", within)
 	}
-	if later := 61 * time.Second; a.over(later, 50) {
+	if later := 61 * time.Second; a.overQuota(later, 50) {
 		t.Error("over the quota a second after the last request")
 	}
 }
@@ -164,7 +164,7 @@
 		t.Fatalf("%d refused of 200", h.count("refuse"))
 	}
 	b.Request(time.Hour, Request{ID: 900, Class: "write", Tenant: "small", Budget: time.Second})
-	if r := b.requests[900]; r == nil || r.over {
+	if r := b.requests[900]; r == nil || r.overQuota {
 		t.Error("over the quota, though nothing has been sent")
 	}
 }
@@ -188,12 +188,12 @@
 			id++
 			now += 100 * ms
 			b.Request(now, Request{ID: id, Class: "write", Budget: budget})
-			if r := b.requests[id]; r != nil && r.out == 1 {
+			if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
 				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestDone: true})
 			}
 		}
 		now += time.Second
-		b.tightAt = now
+		b.lastQueuedAt = now
 		b.Request(now, Request{ID: 100, Class: "write", Budget: c.budget})
 		if sent := h.count("send id=100") == 1; sent != c.sent {
 			t.Errorf("%s: sent %v, want %v", c.name, sent, c.sent)
@@ -211,29 +211,29 @@
 	periods := func(n int, others float64) {
 		for range n {
 			now += bandPeriod
-			for _, u := range b.ups {
-				u.answers, u.last.RequestRate = 20, 20+others
+			for _, u := range b.upstreams {
+				u.answers, u.lastLoad.RequestRate = 20, 20+others
 			}
-			b.step(now)
+			b.endPeriod(now)
 		}
 	}
-	even := b.start
+	even := b.initialLimit
 	for _, c := range []struct {
 		name   string
 		others float64
 		part   float64
 	}{{"alone", 0, 1}, {"two alike", 20, 0.5}, {"one with few clients", 60, 0.5}} {
 		periods(40, c.others)
-		if math.Abs(b.start-2*c.part*even) > 0.01 || math.Abs(b.rate(30)-30*c.part) > 0.1 {
-			t.Errorf("%s: bounds from %v, quota %v; want %v, %v", c.name, b.start, b.rate(30), 2*c.part*even, 30*c.part)
+		if math.Abs(b.initialLimit-2*c.part*even) > 0.01 || math.Abs(b.localQuota(30)-30*c.part) > 0.1 {
+			t.Errorf("%s: bounds from %v, quota %v; want %v, %v", c.name, b.initialLimit, b.localQuota(30), 2*c.part*even, 30*c.part)
 		}
 	}
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		u.answers = 0
 	}
-	b.step(now + bandPeriod) // nothing was answered: as before
-	if math.Abs(b.start-even) > 0.01 {
-		t.Errorf("bounds from %v after a period without answers, want %v", b.start, even)
+	b.endPeriod(now + bandPeriod) // nothing was answered: as before
+	if math.Abs(b.initialLimit-even) > 0.01 {
+		t.Errorf("bounds from %v after a period without answers, want %v", b.initialLimit, even)
 	}
 }
 
@@ -244,7 +244,7 @@
 		s := settings()
 		s.Limits.Hedging = true
 		b, h := start(t, s, fleet(2))
-		b.doubt = 0 // what was overdue before never came
+		b.lateAnswerRatio = 0 // what was overdue before never came
 		now := time.Hour
 		for i := range 40 {
 			serve(t, b, now, RequestID(i+1))
@@ -260,11 +260,11 @@
 		}
 		b.Timer(now, tickToken)
 		r := b.requests[100]
-		if lost := use < fullUse; r.attempts[0].lost != lost || (u.places() == 0) != lost || (r.out == 2) != lost || u.silent {
-			t.Errorf("use %v: lost %v, %d places, %d out, silent %v", use, r.attempts[0].lost, u.places(), r.out, u.silent)
+		if lost := use < fullUtil; r.attempts[0].lost != lost || (u.activeAttempts() == 0) != lost || (r.attemptsInFlight == 2) != lost || u.unresponsive {
+			t.Errorf("use %v: lost %v, %d places, %d out, silent %v", use, r.attempts[0].lost, u.activeAttempts(), r.attemptsInFlight, u.unresponsive)
 		}
-		b.Timer(now+b.patience(u, 1), tickToken)
-		if use < fullUse && u.silent {
+		b.Timer(now+b.responseTimeout(u, 1), tickToken)
+		if use < fullUtil && u.unresponsive {
 			t.Errorf("silent for the sake of a lost attempt: %v", h.lines[len(h.lines)-3:])
 		}
 	}
@@ -273,15 +273,15 @@
 // Trials of a silent server once came at ever longer intervals, and one that failed to connect put off its turns as well.
 func TestTrialsOfASilentServerAreSpacedByTheRampAtMost(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u, now := b.ups[0], time.Hour
-	u.silent, u.wait = true, b.tick
+	u, now := b.upstreams[0], time.Hour
+	u.unresponsive, u.backoff = true, b.tickInterval
 	for i := range RequestID(20) {
 		now += time.Minute
 		b.Request(now, Request{ID: i + 1, Class: "read", Budget: time.Second})
 		b.Outcome(now+ms, Outcome{ID: i + 1, Upstream: u.ID, Latency: ms, Status: ConnectFailed, RequestDone: true})
 	}
-	if u.wait > b.s.Requirements.WarmupTime || u.freeAt > now+ms {
-		t.Errorf("waits %v between trials (ramp %v), no turn for another %v", u.wait, b.s.Requirements.WarmupTime, u.freeAt-now)
+	if u.backoff > b.config.Requirements.WarmupTime || u.pausedUntil > now+ms {
+		t.Errorf("waits %v between trials (ramp %v), no turn for another %v", u.backoff, b.config.Requirements.WarmupTime, u.pausedUntil-now)
 	}
 }
 
@@ -292,9 +292,9 @@
 	s.WorthByWork, s.Classes[1].Worth = false, 15
 	s.Classes[0].Worth, s.Classes[0].LateWorth = 5, s.Classes[1].LateWorth
 	b, _ := start(t, s, fleet(1))
-	b.lat = float64(100 * ms)
+	b.latency = float64(100 * ms)
 	now := time.Hour + time.Second
-	b.ups[0].freeAt = now + time.Minute
+	b.upstreams[0].pausedUntil = now + time.Minute
 	b.Request(now, Request{ID: 1, Class: "keyed", Budget: time.Second})
 	b.Request(now, Request{ID: 2, Class: "read", Budget: time.Second})
 	dear := b.requests[1].sendBy - now
@@ -307,18 +307,18 @@
 func TestRefusedRequestHasTimeForAnotherTry(t *testing.T) {
 	s := settings()
 	b, h := start(t, s, fleet(1))
-	b.lat = float64(20 * ms)
+	b.latency = float64(20 * ms)
 	now, first := time.Hour, time.Duration(0)
-	b.ups[0].freeAt = now + time.Minute
+	b.upstreams[0].pausedUntil = now + time.Minute
 	for try := range RequestID(2) {
 		b.Request(now, Request{ID: try + 1, Class: "read", Budget: s.Classes[0].Deadline / 2})
 		for h.count("refuse") == int(try) && now < time.Hour+time.Second {
-			now += b.tick
+			now += b.tickInterval
 			b.Timer(now, tickToken)
 		}
 		first = cmp.Or(first, now-time.Hour)
 	}
-	if in := now - time.Hour; h.count("refuse") != 2 || in+time.Duration(b.lat) > s.Classes[0].LatencyTarget || first < s.Classes[0].LatencyTarget/4 {
+	if in := now - time.Hour; h.count("refuse") != 2 || in+time.Duration(b.latency) > s.Classes[0].LatencyTarget || first < s.Classes[0].LatencyTarget/4 {
 		t.Errorf("two tries held for %v and %v with an aim of %v", first, in-first, s.Classes[0].LatencyTarget)
 	}
 }
@@ -328,22 +328,22 @@
 	s := settings()
 	s.WorthByWork = false
 	b, h := start(t, s, fleet(1))
-	b.lat, b.pace = float64(20*ms), 20
+	b.latency, b.sendRate = float64(20*ms), 20
 	now := time.Hour + time.Second
-	b.ups[0].freeAt = now + time.Minute
+	b.upstreams[0].pausedUntil = now + time.Minute
 	for i := range RequestID(10) {
 		b.Request(now, Request{ID: i + 1, Class: []string{"keyed", "read"}[min(i, 1)], Budget: time.Second})
 	}
 	left := (b.requests[10].sendBy - now).Seconds()
 	b.dispatch(now)
-	ahead := int(b.pace * left) // so many turns come in the time of the last
-	if len(b.held) != ahead+1 || h.count("refuse") != 10-len(b.held) || b.requests[1] == nil || b.requests[10] == nil {
-		t.Errorf("%d held, %d refused, where %d turns come in time", len(b.held), h.count("refuse"), ahead)
-	}
-	if b.pace = 1000; len(b.held) > 0 {
-		before := len(b.held)
-		if b.dispatch(now); len(b.held) != before {
-			t.Errorf("%d of %d held where turns come fast", len(b.held), before)
+	ahead := int(b.sendRate * left) // so many turns come in the time of the last
+	if len(b.queued) != ahead+1 || h.count("refuse") != 10-len(b.queued) || b.requests[1] == nil || b.requests[10] == nil {
+		t.Errorf("%d held, %d refused, where %d turns come in time", len(b.queued), h.count("refuse"), ahead)
+	}
+	if b.sendRate = 1000; len(b.queued) > 0 {
+		before := len(b.queued)
+		if b.dispatch(now); len(b.queued) != before {
+			t.Errorf("%d of %d held where turns come fast", len(b.queued), before)
 		}
 	}
 }
@@ -357,13 +357,13 @@
 	now := time.Hour
 	for range 40 {
 		now += bandPeriod
-		for _, u := range b.near {
-			u.answers, u.last.RequestRate = 5, 25
+		for _, u := range b.inUse {
+			u.answers, u.lastLoad.RequestRate = 5, 25
 		}
-		b.step(now)
+		b.endPeriod(now)
 	}
-	used := float64(len(b.near)) / 60
-	if got, want := b.rate(800), 800*0.2*used; used > 0.2 || math.Abs(got-want) > want/20 {
+	used := float64(len(b.inUse)) / 60
+	if got, want := b.localQuota(800), 800*0.2*used; used > 0.2 || math.Abs(got-want) > want/20 {
 		t.Errorf("rate %.1f of a quota of 800 at a fifth of %.0f%% of the servers, want %.1f", got, 100*used, want)
 	}
 }
@@ -373,7 +373,7 @@
 	rng, u, now, over := rand.New(rand.NewPCG(1, 2)), tenant{}, time.Duration(0), 0
 	for range 2000 { // 1.6 a second, by chance
 		now += time.Duration(rng.ExpFloat64() / 1.6 * float64(time.Second))
-		if u.over(now, 2) {
+		if u.overQuota(now, 2) {
 			over++
 		}
 	}
@@ -383,7 +383,7 @@
 	over = 0
 	for range 2000 { // three times the quota
 		now += time.Duration(rng.ExpFloat64() / 6 * float64(time.Second))
-		if u.over(now, 2) {
+		if u.overQuota(now, 2) {
 			over++
 		}
 	}
@@ -397,10 +397,10 @@
 	s := settings()
 	s.Classes[0].Worth = 0
 	b, _ := start(t, s, fleet(1))
-	if x := b.plan.stake(b.plan.Class("read").Worth); x != 1 {
+	if x := b.plan.worthRatio(b.plan.Class("read").Worth); x != 1 {
 		t.Errorf("stake %v of a class worth nothing", x)
 	}
-	if x := b.plan.stake(b.plan.Class("keyed").Worth); x != s.Classes[2].Worth/s.Classes[1].Worth {
+	if x := b.plan.worthRatio(b.plan.Class("keyed").Worth); x != s.Classes[2].Worth/s.Classes[1].Worth {
 		t.Errorf("stake %v beside a class worth nothing", x)
 	}
 }
@@ -438,16 +438,16 @@
 		t.Errorf("left out, and back on the list: %v", got)
 	}
 	b.SetMaintenance(now, 2, false)
-	if u := b.byID[2]; !u.cold || u.coldAt != now {
-		t.Errorf("called back: cold %v since %v", u.cold, u.coldAt)
+	if u := b.byID[2]; !u.cold || u.coldSince != now {
+		t.Errorf("called back: cold %v since %v", u.cold, u.coldSince)
 	}
 	if got := ask(6); got[2] == 0 {
 		t.Errorf("called back: %v", got)
 	}
-	at := b.byID[2].coldAt
+	at := b.byID[2].coldSince
 	restarted[1].StartedAt = at - 100*ms // the start that the return stands for, told late
 	b.Members(now, ListDelta, restarted[1:2])
-	if b.byID[2].coldAt != at {
+	if b.byID[2].coldSince != at {
 		t.Error("a start before the return counted as another one")
 	}
 	if h.count("refuse") != 0 {
@@ -462,13 +462,13 @@
 	for id := range RequestID(20) {
 		b.Request(now, Request{ID: id + 1, Class: "write", Budget: time.Second})
 	}
-	if len(b.held) == 0 {
+	if len(b.queued) == 0 {
 		t.Fatal("none is held")
 	}
 	b.SetMaintenance(now, 1, true)
 	b.SetMaintenance(now, 2, true)
-	if len(b.held) != 0 {
-		t.Errorf("%d are held for nobody", len(b.held))
+	if len(b.queued) != 0 {
+		t.Errorf("%d are held for nobody", len(b.queued))
 	}
 	b.Request(now, Request{ID: 77, Class: "read", Budget: time.Second})
 	if h.count("refuse id=77") != 1 {
@@ -492,22 +492,22 @@
 	for id := range RequestID(20) { // far more than there are places
 		b.Request(now, Request{ID: id + 1, Class: "write", Budget: time.Second, Streaming: true})
 	}
-	if len(u.outs) != 20 || u.places() != 0 {
-		t.Fatalf("%d sent, %d places taken", len(u.outs), u.places())
+	if len(u.inFlight) != 20 || u.activeAttempts() != 0 {
+		t.Fatalf("%d sent, %d places taken", len(u.inFlight), u.activeAttempts())
 	}
 	for range 400 { // 4 s: far over the deadline and any patience
 		now += 10 * ms
 		b.Timer(now, tickToken)
 	}
-	if h.count("refuse")+h.count("fail")+h.count("cancel") != 0 || u.silent {
-		t.Fatalf("while it came: silent %v, %v", u.silent, h.lines)
+	if h.count("refuse")+h.count("fail")+h.count("cancel") != 0 || u.unresponsive {
+		t.Fatalf("while it came: silent %v, %v", u.unresponsive, h.lines)
 	}
 	b.BodyComplete(now, 1)
-	if u.places() != 1 {
-		t.Errorf("once whole it takes %d places", u.places())
+	if u.activeAttempts() != 1 {
+		t.Errorf("once whole it takes %d places", u.activeAttempts())
 	}
 	b.Outcome(now+40*ms, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true})
-	if got := time.Duration(u.lat); got != 40*ms {
+	if got := time.Duration(u.latency); got != 40*ms {
 		t.Errorf("latency %v", got)
 	}
 	b.BodyComplete(now, 2)
@@ -524,7 +524,7 @@
 	now := time.Hour
 	b.Request(now, Request{ID: 1, Class: "read", Budget: time.Second, Streaming: true})
 	first := b.requests[1].attempts[0]
-	b.rescue(first, now)
+	b.retryElsewhere(first, now)
 	if h.count("send id=1 ") != 1 {
 		t.Fatal("a second copy of a body that comes once")
 	}
@@ -545,19 +545,19 @@
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: time.Second})
 	u := b.byID[1]
 	b.ResponseStarted(now, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true, Load: Load{Fields: HasUtil, Util: 0.5}})
-	if u.places() != 0 || u.readings != 1 || time.Duration(u.lat) != 40*ms {
-		t.Errorf("%d places, %d readings, latency %v", u.places(), u.readings, time.Duration(u.lat))
+	if u.activeAttempts() != 0 || u.readings != 1 || time.Duration(u.latency) != 40*ms {
+		t.Errorf("%d places, %d readings, latency %v", u.activeAttempts(), u.readings, time.Duration(u.latency))
 	}
 	for range 500 {
 		now += 10 * ms
 		b.Timer(now, tickToken)
 	}
-	if u.silent || h.count("refuse")+h.count("fail")+h.count("cancel") != 0 {
-		t.Errorf("while it passes: silent %v, %v", u.silent, h.lines)
+	if u.unresponsive || h.count("refuse")+h.count("fail")+h.count("cancel") != 0 {
+		t.Errorf("while it passes: silent %v, %v", u.unresponsive, h.lines)
 	}
 	b.Outcome(now, Outcome{ID: 1, Upstream: 1, Latency: 5 * time.Second, Status: Reset, RequestDone: true})
-	if time.Duration(u.lat) != 40*ms || len(b.requests) != 0 || len(u.outs) != 0 {
-		t.Errorf("at its end: latency %v, %d requests, %d out", time.Duration(u.lat), len(b.requests), len(u.outs))
+	if time.Duration(u.latency) != 40*ms || len(b.requests) != 0 || len(u.inFlight) != 0 {
+		t.Errorf("at its end: latency %v, %d requests, %d out", time.Duration(u.latency), len(b.requests), len(u.inFlight))
 	}
 }
 
@@ -582,12 +582,12 @@
 		now += bandPeriod
 		b.Timer(now, tickToken)
 	}
-	if b.carry != 0 {
-		t.Fatalf("carry %v before anything was sent", b.carry)
+	if b.capacityPerWeight != 0 {
+		t.Fatalf("carry %v before anything was sent", b.capacityPerWeight)
 	}
 	serveFor(3)
-	if full := 25 / 0.5; b.carry < 0.6*full || b.carry > 1.2*full {
-		t.Errorf("after 3 s carry is %.1f, want about %.0f", b.carry, full)
+	if full := 25 / 0.5; b.capacityPerWeight < 0.6*full || b.capacityPerWeight > 1.2*full {
+		t.Errorf("after 3 s carry is %.1f, want about %.0f", b.capacityPerWeight, full)
 	}
 }
 
@@ -598,10 +598,10 @@
 	now := time.Hour
 	period := func(others float64) {
 		now += bandPeriod
-		for _, u := range b.ups {
-			u.answers, u.last.RequestRate = 20, 20+others
+		for _, u := range b.upstreams {
+			u.answers, u.lastLoad.RequestRate = 20, 20+others
 		}
-		b.step(now)
+		b.endPeriod(now)
 	}
 	for range 40 {
 		period(20)
@@ -609,14 +609,14 @@
 	for range 3 {
 		period(0)
 	}
-	if b.part < 0.95 {
-		t.Errorf("3 s after the other one has gone the part is %.2f", b.part)
+	if b.trafficShare < 0.95 {
+		t.Errorf("3 s after the other one has gone the part is %.2f", b.trafficShare)
 	}
 	for range 40 {
 		period(0)
 	}
 	period(20)
-	if b.part < 0.8 {
-		t.Errorf("1 s after it is back the part is %.2f", b.part)
+	if b.trafficShare < 0.8 {
+		t.Errorf("1 s after it is back the part is %.2f", b.trafficShare)
 	}
 }
--- a/settings.go
+++ b/settings.go
@@ -21,13 +21,13 @@
 // Plan holds valid settings and values derived from them. It is immutable and may be shared by Balancers and
 // goroutines.
 type Plan struct {
-	s           Settings // without Classes and Tenants
-	classes     map[string]*Class
-	tenants     map[string]float64 // quotas by name
-	minWorth    float64            // smallest positive worth of a class; +Inf: there is none
-	safest      Idempotency        // smallest Idempotency of a class
-	minTarget   time.Duration      // smallest latency target of a class
-	maxDeadline time.Duration      // longest deadline of a class
+	config         Settings // without Classes and Tenants
+	classes        map[string]*Class
+	tenants        map[string]float64 // quotas by name
+	minWorth       float64            // smallest positive worth of a class; +Inf: there is none
+	mostIdempotent Idempotency        // smallest Idempotency of a class
+	minTarget      time.Duration      // smallest latency target of a class
+	maxDeadline    time.Duration      // longest deadline of a class
 }
 
 // NewPlan checks settings and returns a plan, or an error that names an invalid setting and wraps ErrInvalidSettings. It
@@ -55,7 +55,7 @@
 // NewPlanBuilder returns a PlanBuilder without classes and tenants.
 func NewPlanBuilder() *PlanBuilder {
 	return &PlanBuilder{&Plan{classes: map[string]*Class{}, tenants: map[string]float64{}, minWorth: math.Inf(1),
-		safest: NonIdempotent, minTarget: math.MaxInt64}}
+		mostIdempotent: NonIdempotent, minTarget: math.MaxInt64}}
 }
 
 // AddClass adds a class. It returns an error if the class is invalid or its name is taken.
@@ -67,7 +67,7 @@
 		return err
 	}
 	plan.classes[c.Name] = &c
-	plan.safest, plan.minTarget, plan.maxDeadline = min(plan.safest, c.Idempotency),
+	plan.mostIdempotent, plan.minTarget, plan.maxDeadline = min(plan.mostIdempotent, c.Idempotency),
 		min(plan.minTarget, c.LatencyTarget), max(plan.maxDeadline, c.Deadline)
 	if c.Worth > 0 {
 		plan.minWorth = min(plan.minWorth, c.Worth)
@@ -92,13 +92,13 @@
 	} else if err := s.validate(); err != nil {
 		return nil, err
 	}
-	b.plan.s = s
-	b.plan.s.Classes, b.plan.s.Tenants = nil, nil
+	b.plan.config = s
+	b.plan.config.Classes, b.plan.config.Tenants = nil, nil
 	return b.plan, nil
 }
 
 // Settings returns the settings of the plan without the classes and tenants.
-func (p *Plan) Settings() Settings { return p.s }
+func (p *Plan) Settings() Settings { return p.config }
 
 // Class returns the class with a name, or nil if there is none. The class must not be modified.
 func (p *Plan) Class(name string) *Class { return p.classes[name] }
--- a/slowstart.go
+++ b/slowstart.go
@@ -5,38 +5,38 @@
 import "time"
 
 // ramp is the share of its capacity that u is sure to have.
-func (b *Balancer) ramp(u *upstream, now time.Duration) float64 {
-	if u.cold && now-u.coldAt < b.s.Requirements.WarmupTime {
-		from := b.s.Requirements.ColdCapacity
-		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Requirements.WarmupTime))
+func (b *Balancer) warmupFraction(u *upstream, now time.Duration) float64 {
+	if u.cold && now-u.coldSince < b.config.Requirements.WarmupTime {
+		initial := b.config.Requirements.ColdCapacity
+		return initial + (1-initial)*max(0, float64(now-u.coldSince)/float64(b.config.Requirements.WarmupTime))
 	}
 	u.cold = false
 	return 1
 }
 
 // chill treats u as freshly started: nothing learnt before holds.
-func (b *Balancer) chill(u *upstream, at time.Duration) {
-	u.cold, u.coldAt, u.lat, u.latDev, u.units, u.slow = true, at, 0, 0, 0, 0
-	u.readings, u.mean, u.dev, u.area, u.bound, u.least, u.calm = 0, 0, 0, 0, b.start, 0, 0
+func (b *Balancer) markCold(u *upstream, since time.Duration) {
+	u.cold, u.coldSince, u.latency, u.latencyDev, u.workUnits, u.smoothedLatency = true, since, 0, 0, 0, 0
+	u.readings, u.utilMean, u.utilDev, u.bandArea, u.limit, u.minLatency, u.baselineLatency = 0, 0, 0, 0, b.initialLimit, 0, 0
 }
 
 // coldRoom reports whether r fits this balancer's part of what a cold u may get over OverloadWindow, judged by what
 // warm ones carry. Half of that is left for bursts unless u reports use to spare: it may be faster or warm
 // sooner than is sure. No request counts less than the mean, as small ones have a fixed part too.
-func (b *Balancer) coldRoom(u *upstream, r *request, now time.Duration) bool {
-	crowding := max(1, coldUse*u.crowding)
-	if b.carry == 0 { // no warm upstream to judge by: one at a time, and as long a rest between two
-		return len(u.outs) == 0 && now-u.spentAt >= 2*time.Duration(b.lat*crowding)
+func (b *Balancer) fitsColdBudget(u *upstream, r *request, now time.Duration) bool {
+	sharingRatio := max(1, coldBudgetMaxUse*u.sharingRatio)
+	if b.capacityPerWeight == 0 { // no warm upstream to judge by: one at a time, and as long a rest between two
+		return len(u.inFlight) == 0 && now-u.coldLevelAt >= 2*time.Duration(b.latency*sharingRatio)
 	}
-	rate := tipMargin * b.s.Requirements.OverloadFactor * b.ramp(u, now) * u.weight * b.carry / bandPeriod.Seconds()
-	leak := rate / 2
-	if u.readings > 0 && u.mean < fullUse { // it reports that it is far from its limit
-		leak = rate / crowding
+	rate := coldBudgetShare * b.config.Requirements.OverloadFactor * b.warmupFraction(u, now) * u.weight * b.capacityPerWeight / bandPeriod.Seconds()
+	leakRate := rate / 2
+	if u.readings > 0 && u.utilMean < fullUtil { // it reports that it is far from its limit
+		leakRate = rate / sharingRatio
 	}
-	u.spent, u.spentAt = max(0, u.spent-leak*(now-u.spentAt).Seconds()), now
-	room := max(0, rate/2/crowding*b.s.Requirements.OverloadWindow.Seconds()-max(1, r.units))
-	if u.spent > room {
-		b.log(now, "cold", "upstream %d is cold: %.1f sent of late, over %.1f no more fits", u.ID, u.spent, room)
+	u.coldLevel, u.coldLevelAt = max(0, u.coldLevel-leakRate*(now-u.coldLevelAt).Seconds()), now
+	budget := max(0, rate/2/sharingRatio*b.config.Requirements.OverloadWindow.Seconds()-max(1, r.workUnits))
+	if u.coldLevel > budget {
+		b.log(now, "cold", "upstream %d is cold: %.1f sent of late, over %.1f no more fits", u.ID, u.coldLevel, budget)
 	}
-	return u.spent <= room
+	return u.coldLevel <= budget
 }
