--- a/bands.go
+++ b/bands.go
@@ -1,4 +1,5 @@
-// Saturation bands: utilisation readings, their band gap, and the shares that follow from it.
+// Saturation detection: Bollinger bands of each upstream's utilisation, and the cuts of shares that follow
+// from them.
 
 package garnettide
 
@@ -9,18 +10,31 @@
 	"time"
 )
 
-// read takes a load report as a reading of utilisation. Stand-ins: what is held or waits, and at sites
-// without reports the latency as a part of the aim.
-func (b *Balancer) recordLoad(u *upstream, l Load, ok bool, latencyRatio float64, now time.Duration) {
+const (
+	bandPeriod         = time.Second // period over which band widths are integrated; shares change at its end
+	bandWindow         = 8           // utilisation readings in the moving window of an upstream
+	bandHalfWidth      = 2.0         // distance of a band from the mean, in standard deviations
+	minExcessUtil      = 0.5         // mean utilisation that never counts as excess over the fleet
+	minBandArea        = 0.4         // area up to which no upstream counts as saturated
+	saturatedAreaRatio = 1.25        // to the median area: an upstream above it is saturated
+	minCutFactor       = 0.8         // largest cut of a share in one period, as a factor
+	shareRestoreFactor = 1.04        // growth of a cut share in one period
+	minShareFactor     = 0.1         // smallest share left after cuts, as a factor
+)
+
+// recordLoad adds a utilisation reading from a load report. Without a utilisation in the report it is
+// derived from the requests in flight and waiting or, where upstreams send no reports, from latencyRatio,
+// the latency of a successful attempt divided by the latency target. An unchanged report adds no reading.
+func (b *Balancer) recordLoad(u *upstream, l Load, success bool, latencyRatio float64, now time.Duration) {
 	util := l.Util
 	switch {
 	case l.Fields&HasUtil != 0:
 	case l.Fields&(HasInflight|HasQueue) != 0:
 		util = 1 - 1/(1+l.Inflight+l.Queue)
-	case b.config.Reports == ReportNone && ok:
+	case b.config.Reports == ReportNone && success:
 		util = min(1, latencyRatio)
 	}
-	if (l.Fields != 0 && l == u.lastLoad) || (l.Fields == 0 && util == 0) { // not refreshed: no new reading
+	if (l.Fields != 0 && l == u.lastLoad) || (l.Fields == 0 && util == 0) {
 		return
 	}
 	b.integrateBand(u, now)
@@ -29,7 +43,7 @@
 	u.utilMean, u.utilDev = meanAndDeviation(u.utilWindow[:min(u.readings, bandWindow)])
 }
 
-// bands returns the moving average and the population standard deviation.
+// meanAndDeviation returns the mean and the population standard deviation of xs.
 func meanAndDeviation(xs []float64) (mean, dev float64) {
 	for _, x := range xs {
 		mean += x / float64(len(xs))
@@ -40,13 +54,15 @@
 	return mean, math.Sqrt(dev)
 }
 
-// integrate adds the band gap. A server pinned at full load reads flat, so its level over the fleet's counts.
+// integrateBand adds the band width since the last call to the band area. The excess of the mean over the
+// fleet's median widens the band, as the utilisation of a saturated upstream hardly varies.
 func (b *Balancer) integrateBand(u *upstream, now time.Duration) {
 	width := 2 * bandHalfWidth * (u.utilDev + max(0, u.utilMean-max(minExcessUtil, b.medianUtil)))
 	u.bandArea, u.integratedAt = u.bandArea+width*(now-u.integratedAt).Seconds()/bandPeriod.Seconds(), now
 }
 
-// rank is the value over one in n of the upstreams that have readings: the median for n = 2.
+// quantile returns the value at 1/n of the sorted values of all upstreams of the subset that have readings
+// (the median for n = 2), or 0 if there are none.
 func (b *Balancer) quantile(n int, value func(*upstream) float64) float64 {
 	values := make([]float64, 0, len(b.inUse)+1)
 	for _, u := range b.inUse {
@@ -58,22 +74,26 @@
 	return append(values, 0)[len(values)/n]
 }
 
-// step closes the period: saturated upstreams lose share by degrees, the others regain it. The threshold
-// follows the fleet's median, so a rise on all servers cuts nobody.
+// endPeriod ends a bandPeriod: saturated upstreams lose a part of their share, and the others regain
+// theirs. The threshold follows the fleet's median, so that a rise of load on all upstreams cuts no share.
+// It also updates the statistics of the period, removes upstreams that are gone and selects the subset
+// again.
 func (b *Balancer) endPeriod(now time.Duration) {
 	var totalWork, totalWeight float64
 	for _, u := range b.inUse {
 		b.integrateBand(u, now)
-		if u.periodWork > 0 || u.workPeriods > 0 { // a mean of the few there are, an empty one before them: care
+		if u.periodWork > 0 || u.workPeriods > 0 { // the mean starts from an empty period
 			u.workPeriods++
 			u.meanWork += max(smoothing, 1/(u.workPeriods+1)) * (u.periodWork - u.meanWork)
 		}
 		u.periodWork = 0
 		if u.inSubset && !u.cold && !u.unresponsive && u.meanWork > 0 {
-			totalWork, totalWeight = totalWork+u.meanWork/min(max(cmp.Or(u.utilMean, 1), minExcessUtil), 1), totalWeight+u.weight
+			totalWork, totalWeight = totalWork+u.meanWork/min(max(cmp.Or(u.utilMean, 1), minExcessUtil), 1),
+				totalWeight+u.weight
 		}
 	}
-	b.capacityPerWeight = cmp.Or(totalWork/max(totalWeight, math.SmallestNonzeroFloat32), b.capacityPerWeight) // with nobody to judge by, as before
+	// Without a warm upstream the capacity stays as it was.
+	b.capacityPerWeight = cmp.Or(totalWork/max(totalWeight, math.SmallestNonzeroFloat32), b.capacityPerWeight)
 	threshold := max(minBandArea, saturatedAreaRatio*b.quantile(2, func(u *upstream) float64 { return u.bandArea }))
 	for _, u := range b.inUse {
 		if u.readings >= bandWindow/2 && u.bandArea > threshold {
@@ -82,7 +102,7 @@
 			u.shareFactor = min(1, u.shareFactor*shareRestoreFactor)
 		}
 		u.limit = min(u.limit, b.initialLimit*maxFleetLimit/initialFleetLimit)
-		u.bandArea, u.maxLimit = 0, max(2*u.limit, initialFleetLimit) // or it grew tenfold before a reading told of full use
+		u.bandArea, u.maxLimit = 0, max(2*u.limit, initialFleetLimit) // load reports lag behind the growth of the limit
 	}
 	updateMean(&b.sendRate, b.periodSends/bandPeriod.Seconds(), periodSmoothing)
 	b.periodSends = 0
@@ -90,7 +110,7 @@
 	b.periodStart, b.medianUtil = now, b.quantile(2, func(u *upstream) float64 { return u.utilMean })
 	b.minLatency = b.quantile(4, func(u *upstream) float64 { return u.minLatency })
 	b.baselineLatency = b.quantile(4, func(u *upstream) float64 { return u.baselineLatency })
-	b.upstreams = slices.DeleteFunc(b.upstreams, func(u *upstream) bool { // forget what is gone and owes nothing
+	b.upstreams = slices.DeleteFunc(b.upstreams, func(u *upstream) bool {
 		removed := u.State == Removed && len(u.inFlight) == 0
 		if removed {
 			delete(b.byID, u.ID)
--- a/discovery.go
+++ b/discovery.go
@@ -1,4 +1,4 @@
-// When discovery is called, and what its lists change.
+// Discovery: when it is called, and how its lists are applied.
 
 package garnettide
 
@@ -7,15 +7,27 @@
 	"time"
 )
 
-// Members takes what discovery says of the upstreams.
+const (
+	discoveryCallTime = 60 * time.Millisecond // time in which discovery serves one call
+	firstCallShare    = 0.7                   // share of the call round over which the first calls are spread
+	maxNotifyDelay    = 6 * time.Second       // time after which a change in discovery counts as notified
+	minCallReserve    = time.Second           // part of maxNotifyDelay reserved for the retry itself: as long as
+	maxCallReserve    = 2 * time.Second       // the failed call took, within these bounds
+	longPollThreshold = 7 * time.Second / 2   // a failed call that took longer had been served and waited for changes
+
+	rejectionLimit    = 2 // consecutive rejections after which an upstream is presumed to drain
+	presumedDrainTime = 2 * maxNotifyDelay
+)
+
+// Members applies a list from discovery, or notes that it failed.
 func (b *Balancer) Members(now time.Duration, mode ListMode, list []Upstream) {
 	b.listUnconfirmed = mode != ListFull && mode != ListDelta
 	switch mode {
-	case ListStale: // at once: what it misses counts as told before turns drawn over all instances would be over
+	case ListStale: // without a staggered wait, which could exceed maxNotifyDelay
 		b.mayMissChanges, b.discoveryBackoff = true, 0
 		b.callDiscovery(now)
 		return
-	case ListFailed: // ask again, later each time and never all instances at once
+	case ListFailed: // exponential backoff, staggered over the balancers
 		b.discoveryBackoff = max(b.discoveryBackoff*backoffGrowth, b.config.Requirements.MaxDiscoveryInterval/32)
 		if !b.mayMissChanges {
 			b.discoveryBackoff = max(b.discoveryBackoff, b.callRoundTime())
@@ -27,7 +39,7 @@
 		b.log(now, "discovery", "discovery call failed: asking again in %v", delay)
 		return
 	}
-	b.mayMissChanges, b.discoveryBackoff, b.discoveryCalledAt = false, 0, now // a watch goes on with the next call
+	b.mayMissChanges, b.discoveryBackoff, b.discoveryCalledAt = false, 0, now // the watch has made its next call
 	listed := make(map[UpstreamID]bool, len(list))
 	for _, entry := range list {
 		listed[entry.ID] = true
@@ -42,12 +54,13 @@
 	b.dispatch(now)
 }
 
-// retryWindow is when to call discovery again after a call that has failed. It may be back, with news, since
-// that call was made: the next one is in time for that. A call that has waited for its turn in vain shows
-// that others were served then, and that soon nobody may wait any more: the next one begins sooner.
+// retryWindow returns the earliest and latest delay of the next discovery call after a failed one.
+// Discovery may have had changes since the failed call began, so the next call has to end within
+// maxNotifyDelay of that. A call that took longer than minCallReserve may have waited behind others that
+// were served meanwhile, so the next one may start sooner.
 func (b *Balancer) retryWindow(now time.Duration) (earliest, latest time.Duration) {
 	elapsed := now - b.discoveryCalledAt
-	if elapsed > longPollThreshold { // it had waited for news
+	if elapsed > longPollThreshold {
 		elapsed = 0
 	}
 	latest = maxNotifyDelay - elapsed - max(minCallReserve, min(elapsed, maxCallReserve))
@@ -58,30 +71,33 @@
 	return earliest, latest
 }
 
-// ask calls discovery.
+// callDiscovery calls discovery, which Members answers.
 func (b *Balancer) callDiscovery(now time.Duration) {
 	b.discoveryCalledAt = now
 	b.host.Watch(true)
 }
 
-// turnOf is this balancer's own part of a time in which all call discovery: all may have begun at once.
+// staggerFraction returns a number from 0 to 1 that spreads the calls of all balancers evenly over a
+// period: the golden ratio times the balancer's rank, with jitter.
 func (b *Balancer) staggerFraction() float64 {
 	_, fraction := math.Modf(float64(b.config.Rank)*math.Phi + b.rng.Float64()/float64(b.config.Balancers))
 	return fraction
 }
 
-// turnOfCalls is the time in which discovery, that serves calls in turn, can serve one of each balancer.
+// callRoundTime returns the time in which discovery, which serves calls one after another, can serve one
+// call of each balancer, but at most half of the longest permitted interval between calls.
 func (b *Balancer) callRoundTime() time.Duration {
 	return min(time.Duration(b.config.Balancers)*discoveryCallTime, b.config.Requirements.MaxDiscoveryInterval/2)
 }
 
-// member applies one list entry.
+// applyEntry applies one list entry, and adds an upstream for it if there is none.
 func (b *Balancer) applyEntry(entry Upstream, now time.Duration) {
 	u := b.byID[entry.ID]
 	if u == nil && entry.State == Removed {
 		return
 	} else if u == nil {
-		u = &upstream{weight: entry.Weight, shareFactor: 1, maxLimit: initialFleetLimit, backoff: b.tickInterval, coldLevelAt: now, lastAnswerAt: now,
+		u = &upstream{weight: entry.Weight, shareFactor: 1, maxLimit: initialFleetLimit, backoff: b.tickInterval,
+			coldLevelAt: now, lastAnswerAt: now,
 			limitCutAt: now, pausedUntil: now, ringHash: hashID(uint64(entry.ID))}
 		b.byID[entry.ID], b.upstreams = u, append(b.upstreams, u)
 	}
@@ -89,18 +105,18 @@
 		u.unresponsive, u.pausedUntil = false, now
 		if now-entry.StartedAt < b.config.Requirements.WarmupTime {
 			b.markCold(u, entry.StartedAt)
-			u.coldLevel, u.coldLevelAt = b.rng.Float64(), now // not what it got while warm; drawn, or all begin at once
+			u.coldLevel, u.coldLevelAt = b.rng.Float64(), now // random, so that balancers do not all send at once
 		}
 	}
 	u.Upstream = entry
-	if b.config.Weights == WeightLoadAdjusted { // late and the same for all: only its slow mean is safe to follow
+	if b.config.Weights == WeightLoadAdjusted { // delayed and the same for all balancers: follow it slowly
 		entry.Weight = u.weight + smoothing*(entry.Weight-u.weight)
 	}
 	u.weight = max(entry.Weight, math.SmallestNonzeroFloat32)
 }
 
-// countTurnedAway counts the requests in a row that u has turned away. Some while the list may be out
-// of date tell that it drains: it is left out, and tried again after a while, as discovery may be down long.
+// countRejections counts consecutive rejections by u. If there are several while the list is unconfirmed, u
+// is presumed to drain and left out for presumedDrainTime.
 func (b *Balancer) countRejections(u *upstream, status Status, now time.Duration) {
 	switch status {
 	case OK, Error:
@@ -114,7 +130,7 @@
 	}
 }
 
-// presumedDraining tells that u is left out as one that drains, although the list does not say so.
+// presumedDraining reports whether u is left out because it seems to drain, although no list says so.
 func (b *Balancer) presumedDraining(u *upstream, now time.Duration) bool {
 	return b.listUnconfirmed && now < u.presumedDrainingUntil
 }
--- a/state.go
+++ b/state.go
@@ -1,3 +1,5 @@
+// The types that a Balancer keeps, the learnt statistics of classes, tenant quotas and changes of settings.
+
 package garnettide
 
 import (
@@ -7,14 +9,21 @@
 	"time"
 )
 
-// The types that the decisions in balancer.go keep, and what is decided over quotas, budgets and changed settings.
+const (
+	quotaDevs       = 2.0             // standard deviations of a second's requests, as random arrivals, that may exceed a quota
+	budgetTolerance = 16              // a budget within 1/budgetTolerance of the usual one counts as equal
+	maxBudgetVotes  = 64              // most votes for the usual budget, which other budgets have to outvote
+	removalsPerTick = 256             // names that are forgotten in a tick, for each pending change of settings
+	logInterval     = 5 * time.Second // smallest interval between log lines of one kind
+)
 
-// tenant counts one customer's requests against this balancer's part of its quota.
+// tenant is the leaky bucket of a tenant's quota: its level in requests, and the time in seconds when it
+// was updated.
 type tenant struct{ level, updatedAt float64 }
 
-// over counts a request that is within its tenant's quota, of which rate a second is this balancer's part, and reports
-// whether this one is over it. What is over the quota is not counted, or a tenant that asks for more than its share
-// would be left none.
+// overQuota reports whether a request exceeds the quota, of which this balancer's part is rate requests per
+// second, and counts the request if it does not. Requests over the quota are not counted, so that a tenant
+// that sends too much still gets its quota.
 func (t *tenant) overQuota(now time.Duration, rate float64) bool {
 	t.level, t.updatedAt = max(0, t.level-rate*(now.Seconds()-t.updatedAt)), now.Seconds()
 	if t.level+1 > max(rate+quotaDevs*math.Sqrt(rate), 1) {
@@ -24,15 +33,15 @@
 	return false
 }
 
-// classStatistics are what a class's requests have shown: their usual latency, ns, and the usual budget of a try, with the votes
-// for that.
+// classStatistics holds the mean latency of a class in nanoseconds, and the usual budget of its requests
+// with the votes for it.
 type classStatistics struct {
 	latency float64
 	budget  time.Duration
 	votes   int
 }
 
-// stake sets what the cheapest class is worth, of those that are worth anything, against one of a worth: at most 1.
+// worthRatio returns the smallest positive worth of a class divided by a worth, but at most 1.
 func (p *Plan) worthRatio(worth float64) float64 {
 	if p.minWorth < worth {
 		return p.minWorth / worth
@@ -40,7 +49,7 @@
 	return 1
 }
 
-// knows tells whether requests may name a tenant: any, where none is set.
+// acceptsTenant reports whether requests may name a tenant. Any name is accepted if no tenants are set.
 func (p *Plan) acceptsTenant(tenant string) bool {
 	if tenant == "" || len(p.tenants) == 0 {
 		return true
@@ -49,15 +58,16 @@
 	return ok
 }
 
-// class is a class as a request met it: the terms that held, and what is learnt of it.
+// class holds the class settings of a request and the learnt statistics of the class.
 type class struct {
 	*Class
 	*classStatistics
 }
 
-// usual takes a try's budget and reports whether it is the usual one, by a majority vote that forgets. The longest
-// budget is none to go by: a client's last try may have all of the deadline that is left.
-func (c *classStatistics) isUsualBudget(budget time.Duration) bool {
+// observeBudget counts the budget of a request and reports whether it is the usual one, which is found by a
+// majority vote with a bounded count. The longest budget would not do, as a client's last try may have the
+// whole rest of its deadline.
+func (c *classStatistics) observeBudget(budget time.Duration) bool {
 	if c.votes == 0 {
 		c.budget = budget
 	}
@@ -75,59 +85,68 @@
 	up              *upstream
 	sentAt          time.Duration
 	ended, neverRan bool
-	overtakes       int  // later attempts at its upstream that were answered before it
-	lost            bool // its answer is not expected any more
-	responseStarted bool // its answer passes on
+	overtakes       int  // later attempts at the upstream that were answered first
+	lost            bool // no answer is expected any more
+	responseStarted bool // the answer is being passed on to the client
 }
 
-// request is an entry of the ledger; it stays until its last attempt has ended.
+// request is an open request. It is kept until its last attempt has ended.
 type request struct {
 	Request
 	class                     class
-	tenant                    *tenant       // who it counts for; nil: nobody
-	worth, workUnits          float64       // worth per unit of work; work in mean requests
-	sendBy, deadline          time.Duration // sent after sendBy, an answer would come late
+	tenant                    *tenant       // whose quota it counts against; nil: none
+	worth, workUnits          float64       // worth per unit of work; work in units of a mean request
+	sendBy, deadline          time.Duration // latest time to leave the queue; end of the client's wait
 	attempts                  []*attempt
 	attemptsInFlight          int
 	done, queued              bool
-	overQuota                 bool // its tenant's quota
-	bodyPending, bodyConsumed bool // its body still comes; is gone
+	overQuota                 bool
+	bodyPending, bodyConsumed bool // the body is still arriving; it is gone, so that it cannot be sent again
 }
 
-// upstream is what this balancer knows of one server.
+// upstream holds the state and the statistics of one upstream. Latencies are in nanoseconds, work is in
+// units of a mean request.
 type upstream struct {
 	Upstream
-	cold, unresponsive                           bool
-	inSubset                                     bool   // in the subset
-	ringHash                                     uint64 // on the ring of all upstreams
-	coldSince, nextTrialAt                       time.Duration
-	lastAnswerAt, limitCutAt, lastProbeAt        time.Duration
-	pausedUntil                                  time.Duration // its turns are skipped until then
-	maintenanceEndedAt                           time.Duration // end of its maintenance
-	consecutiveRejections                        int           // requests in a row
-	presumedDrainingUntil                        time.Duration // end of its being left out as one that drains
-	backoff                                      time.Duration // growing wait between trials or failed connects
-	nextTurn                                     float64       // its next turn, in turns of the whole fleet
-	weight, shareFactor                          float64       // size; share left after cuts
-	utilWindow                                   [bandWindow]float64
-	readings                                     int
-	utilMean, utilDev, bandArea                  float64 // of the window; band gap integrated since the last step
-	integratedAt, coldLevelAt                    time.Duration
-	lastLoad                                     Load
+	cold, unresponsive                    bool
+	inSubset                              bool
+	ringHash                              uint64 // position on the hash ring
+	coldSince, nextTrialAt                time.Duration
+	lastAnswerAt, limitCutAt, lastProbeAt time.Duration
+	pausedUntil                           time.Duration // gets no requests before
+	maintenanceEndedAt                    time.Duration
+	consecutiveRejections                 int
+	presumedDrainingUntil                 time.Duration
+	backoff                               time.Duration // wait after the next trial or failed connection
+
+	// Share and utilisation.
+	nextTurn                    float64 // time of its next turn, in the virtual time of the interleave
+	weight, shareFactor         float64 // weight from discovery; share left after cuts
+	utilWindow                  [bandWindow]float64
+	readings                    int           // number of readings so far
+	utilMean, utilDev, bandArea float64       // mean and deviation of utilWindow; band width integrated over the period
+	integratedAt, coldLevelAt   time.Duration // time of the latest change of bandArea; of coldLevel
+	lastLoad                    Load
+
+	// Latency and concurrency limit.
 	inFlight                                     []*attempt // in order of sending
-	latency, latencyDev, workUnits               float64    // usual latency, its mean deviation, ns; usual work of its answers
-	minLatency, smoothedLatency, baselineLatency float64    // least latency for the work seen; its slow mean; the least of that
-	limit, maxLimit                              float64    // attempts that may be out at once; its top this period
-	answers                                      float64    // in this period
-	periodWork, meanWork, coldLevel              float64    // work sent this period; its mean; leaky count while cold
-	workPeriods                                  float64    // in the mean of the work
-	sharingRatio                                 float64    // balancers that use it, over the usual number of them; 0: none is cold
+	latency, latencyDev, workUnits               float64    // running means: latency, its mean deviation, work per answer
+	minLatency, smoothedLatency, baselineLatency float64    // per unit of work: minimum; running mean; minimum of that
+	limit, maxLimit                              float64    // concurrency limit; its upper bound in this period
+	answers                                      float64    // successful attempts in this period
+
+	// Work and slow start.
+	periodWork, meanWork, coldLevel float64 // work sent in this period; its running mean; leaky bucket while cold
+	workPeriods                     float64 // number of periods in meanWork
+	sharingRatio                    float64 // balancers that use it, relative to the usual number; 0: none is cold
 }
 
-// idle tells that no answer of a's upstream is awaited: the request still comes, or the answer already passes on.
+// transferring reports whether the request's body is still arriving or the answer is already being passed
+// on, so that the upstream does not have to answer.
 func (a *attempt) transferring() bool { return a.responseStarted || a.req.bodyPending }
 
-// places counts the attempts out that hold a place: all but the lost ones and those at which nothing is worked.
+// activeAttempts returns the number of attempts in flight that count against the limit: all that are
+// neither lost nor transferring.
 func (u *upstream) activeAttempts() (n int) {
 	for _, a := range u.inFlight {
 		if !a.lost && !a.transferring() {
@@ -137,41 +156,44 @@
 	return n
 }
 
-// Balancer decides for one proxy instance. See the package comment for the contract.
+// Balancer makes the decisions for one proxy instance. See the package comment for its contract.
 type Balancer struct {
-	config                                      Settings
-	host                                        Host
-	rng                                         *rand.Rand
-	plan                                        *Plan // in force
-	mostIdempotent                              Idempotency
-	classes                                     map[string]*classStatistics // learnt, since the first use
-	tenants                                     map[string]*tenant          // likewise
-	pendingRemovals                             []PlanDiff                  // of which something is still to be forgotten
-	requests                                    map[RequestID]*request
-	byID                                        map[UpstreamID]*upstream
-	upstreams                                   []*upstream         // in order of arrival
-	inUse                                       []*upstream         // the subset, and what left it with attempts still out
-	inMaintenance                               map[UpstreamID]bool // in maintenance, listed or not
-	mayMissChanges                              bool                // the list may lack what soon counts as told
-	listUnconfirmed                             bool                // it has not been heard since the start, or since a call failed
-	queued                                      []*request          // by worth, then newest first
-	virtualTime                                 float64             // virtual time of the interleave
-	latency, meanCost                           float64             // usual latency, mean cost hint
-	periodSends, sendRate                       float64             // attempts in this period; a second, of late
-	initialLimit                                float64             // an upstream's bound before anything is learnt
-	medianUtil                                  float64             // the fleet's middle level: what all carry is no one's excess
-	capacityPerWeight                           float64             // work a period that warm upstreams carry for their weight and use
-	minLatency, baselineLatency                 float64             // those of an upstream, as a good part of the fleet has them
-	lateAnswerRatio                             float64             // part of the overdue attempts that were answered after all
-	trafficShare                                float64             // of what the upstreams answer, as far as their reports tell
-	quotaShare                                  float64             // of the whole traffic, likewise; 0: no report has told
+	config          Settings // of the plan, without Classes and Tenants
+	host            Host
+	rng             *rand.Rand
+	plan            *Plan                       // in force
+	mostIdempotent  Idempotency                 // smallest Idempotency of a class
+	classes         map[string]*classStatistics // created at first use
+	tenants         map[string]*tenant          // created at first use
+	pendingRemovals []PlanDiff                  // with removed classes and tenants that are still to be forgotten
+	requests        map[RequestID]*request
+	byID            map[UpstreamID]*upstream
+	upstreams       []*upstream         // in order of arrival
+	inUse           []*upstream         // the subset, and former members that have attempts in flight
+	inMaintenance   map[UpstreamID]bool // listed or not
+	mayMissChanges  bool                // the watch may have missed changes
+	listUnconfirmed bool                // no list from discovery since the start or the last failure
+	queued          []*request          // highest worth first, then newest first
+	virtualTime     float64             // of the interleave
+
+	// Statistics of all upstreams.
+	latency, meanCost           float64 // running means: latency in nanoseconds, cost hint in nanoseconds
+	periodSends, sendRate       float64 // attempts in this period; running mean per second
+	initialLimit                float64 // concurrency limit of an upstream without statistics
+	medianUtil                  float64 // median of the upstreams' mean utilisation
+	capacityPerWeight           float64 // work in a period of a fully used warm upstream, per unit of weight
+	minLatency, baselineLatency float64 // lower quartiles of the upstreams' values
+	lateAnswerRatio             float64 // share of overdue attempts that were answered after all
+	trafficShare                float64 // share of the subset's traffic that comes from this balancer; 0: unknown
+	quotaShare                  float64 // share of the whole traffic; 0: unknown
+
 	tickInterval, periodStart, discoveryBackoff time.Duration
-	discoveryCalledAt                           time.Duration // last call of discovery that is known of
+	discoveryCalledAt                           time.Duration // start of the last call, or time of the last list
 	lastQueuedAt                                time.Duration // last time that no upstream could take a request
 	lastLogged                                  map[string]time.Duration
 }
 
-// adopt takes what a plan says apart from classes and tenants, which are looked up there.
+// applyPlan puts the settings of a plan in force. Classes and tenants are looked up in the plan.
 func (b *Balancer) applyPlan(p *Plan) {
 	b.plan, b.config, b.mostIdempotent = p, p.config, p.mostIdempotent
 	b.tickInterval = max(p.config.Granularity, p.minTarget/ticksPerTarget, time.Millisecond)
@@ -180,23 +202,24 @@
 // Plan returns the plan in force.
 func (b *Balancer) Plan() *Plan { return b.plan }
 
-// Reconfigure goes by another plan from now on; c is what that changes, for what is gone to be forgotten. What has been
-// taken keeps its terms, and what has been learnt stays. The work does not grow with what the plan holds.
+// Reconfigure applies a plan; diff is its difference from the current one. Accepted requests keep their
+// class settings, and statistics are kept. The time that it takes does not depend on the size of the plan.
 func (b *Balancer) Reconfigure(now time.Duration, p *Plan, diff PlanDiff) {
 	positionChanged := p.config.Balancers != b.config.Balancers || p.config.Rank != b.config.Rank
 	b.applyPlan(p)
 	if len(diff.removedClasses)+len(diff.removedTenants) > 0 {
 		b.pendingRemovals = append(b.pendingRemovals, diff)
 	}
-	if positionChanged { // another stretch of the ring
+	if positionChanged { // the subset depends on the rank
 		b.selectSubset(now)
 		b.dispatch(now)
 	}
 }
 
-// forget drops what was learnt of some of the classes and tenants that are gone. One that is back keeps all of it.
+// forgetRemoved drops the statistics of some of the removed classes and tenants. A name that has been added
+// again keeps its statistics. The more changes are pending, the more names are dropped at once.
 func (b *Balancer) forgetRemoved() {
-	for remaining := removalsPerTick * len(b.pendingRemovals); remaining > 0 && len(b.pendingRemovals) > 0; remaining-- { // faster where more is left to forget
+	for remaining := removalsPerTick * len(b.pendingRemovals); remaining > 0 && len(b.pendingRemovals) > 0; remaining-- {
 		diff := &b.pendingRemovals[0]
 		if n := len(diff.removedClasses); n > 0 {
 			name := diff.removedClasses[n-1]
@@ -216,7 +239,7 @@
 	}
 }
 
-// class is a class as it stands, by the terms given, or else those in force.
+// class returns the class with a name, with the given settings or, if they are nil, the current ones.
 func (b *Balancer) class(name string, settings *Class) class {
 	if settings == nil {
 		settings = b.plan.classes[name]
@@ -229,7 +252,8 @@
 	return class{settings, stats}
 }
 
-// rate is this balancer's part of a tenant's quota, a second: no less than an even one.
+// localQuota returns this balancer's part of a tenant's quota, in requests per second: its share of the
+// traffic, but at least an even share.
 func (b *Balancer) localQuota(quota float64) float64 {
 	if b.quotaShare == 0 {
 		return quota / float64(b.config.Balancers)
@@ -237,7 +261,8 @@
 	return quota * max(b.quotaShare, 1/float64(b.config.Balancers))
 }
 
-// over counts r for its tenant, and reports whether it is over the quota. Who has no quota is never over it.
+// overQuota counts r for its tenant and reports whether it is over the tenant's quota. Without a quota it
+// is not.
 func (b *Balancer) overQuota(r *request, now time.Duration) bool {
 	quota, ok := b.plan.tenants[r.Tenant]
 	if !ok {
@@ -250,14 +275,15 @@
 	return r.tenant.overQuota(now, b.localQuota(quota))
 }
 
-// mixed is a fixed hash of x, so that neither numbering nor time of listing orders the ring.
+// hashID hashes x. The hash is the same for all balancers, and makes the order of the ring independent of
+// the numbering.
 func hashID(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return x ^ x>>32
 }
 
-// follow moves a running mean; the first sample sets it.
+// updateMean adds a sample to an exponential moving average. The first sample sets it.
 func updateMean(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
@@ -265,7 +291,7 @@
 	*mean += weight * (sample - *mean)
 }
 
-// log writes a line of a kind, at most one in a while.
+// log writes a log line, but at most one of each kind in a logInterval.
 func (b *Balancer) log(now time.Duration, kind, format string, args ...any) {
 	if at, ok := b.lastLogged[kind]; !ok || now-at >= logInterval {
 		b.lastLogged[kind] = now
--- a/subset.go
+++ b/subset.go
@@ -1,4 +1,4 @@
-// The subset of the upstreams that a balancer uses.
+// Subsetting: the choice of the upstreams that a balancer uses.
 
 package garnettide
 
@@ -9,17 +9,26 @@
 	"time"
 )
 
-// gather chooses the upstreams that this balancer uses. Where balancers are many each upstream serves some of
-// them, or its connections run out and no balancer sees enough of it. All see the same ring of upstreams and
-// take a stretch from a place of their own; the golden ratio spreads these evenly for any run of ranks. Cold
-// and silent ones stay in the stretch, which then goes on to as many more. Those presumed to drain are passed
-// over, and replaced only where few are left: the next on the ring may drain as well.
+const (
+	balancersPerUpstream = 4.0 // balancers that share an upstream, if there are that many
+	minSubsetSize        = 2   // smallest number of upstreams that a balancer uses
+)
+
+// selectSubset chooses the upstreams that this balancer uses: a deterministic subset, which bounds the
+// connections of each upstream and lets a balancer see enough of the load of its upstreams. All balancers
+// have the same hash ring and take consecutive upstreams from an offset of their own; the golden ratio
+// spreads the offsets evenly for any range of ranks. Cold and unresponsive upstreams stay in the subset,
+// which is extended by as many others, up to twice its size. Upstreams presumed to drain are skipped, and
+// replaced only where few are left, as the next on the ring may drain as well.
+//
+// It also sets the initial concurrency limit for the subset's size.
 func (b *Balancer) selectSubset(now time.Duration) {
 	ring := slices.DeleteFunc(slices.Clone(b.upstreams), func(u *upstream) bool { return !b.available(u) })
 	slices.SortFunc(ring, func(x, y *upstream) int { return cmp.Compare(x.ringHash, y.ringHash) })
 	allPresumed := !slices.ContainsFunc(ring, func(u *upstream) bool { return !b.presumedDraining(u, now) })
 	ringSize, balancers := float64(len(ring)), float64(b.config.Balancers)
-	target := max(1, min(ringSize, max(minSubsetSize, math.Ceil(ringSize*balancersPerUpstream/max(balancersPerUpstream, balancers-balancersPerUpstream)))))
+	target := max(1, min(ringSize, max(minSubsetSize,
+		math.Ceil(ringSize*balancersPerUpstream/max(balancersPerUpstream, balancers-balancersPerUpstream)))))
 	b.updateSharingRatios(ring, target, now)
 	evenShare := max(ringSize, 1) / target / balancers
 	b.initialLimit = initialFleetLimit * max(evenShare, min(b.trafficShare, 1))
@@ -37,10 +46,10 @@
 	}
 	b.inUse = b.inUse[:0]
 	for _, u := range b.upstreams {
-		if chosen[u] && !u.inSubset { // its first turn is drawn, or balancers march in step
+		if chosen[u] && !u.inSubset { // random phases keep balancers from sending and probing in step
 			phase := b.rng.Float64()
 			u.limit, u.integratedAt, u.nextTurn = cmp.Or(u.limit, b.initialLimit), now, b.virtualTime+phase*target
-			u.pausedUntil = max(u.pausedUntil, now+time.Duration(phase*float64(b.pause(u)))) // or all crowd it at once
+			u.pausedUntil = max(u.pausedUntil, now+time.Duration(phase*float64(b.pause(u))))
 			u.coldLevel, u.coldLevelAt = phase, now
 			u.lastProbeAt = now - time.Duration(phase*float64(bandPeriod))
 		}
@@ -50,8 +59,9 @@
 	}
 }
 
-// countHolders sets for each upstream how many times the usual number of balancers use it. Where many are cold most
-// balancers' stretches go on past them, and each has a budget at the cold ones of others too.
+// updateSharingRatios sets for each upstream the number of balancers that use it, relative to the usual
+// number. Cold upstreams extend the subsets of many balancers, so that more balancers than usual share each
+// of them. The ratios are 0 if no upstream is cold.
 func (b *Balancer) updateSharingRatios(ring []*upstream, target float64, now time.Duration) {
 	cold := false
 	for _, u := range ring {
