--- a/balancer_test.go
+++ b/balancer_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// start returns a Balancer with a list, and its recorder.
+// start returns a Balancer that has received a list, and the recorder of its actions.
 func start(t *testing.T, s Settings, list []Upstream) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
@@ -24,7 +24,7 @@
 	return b, h
 }
 
-// serve sends a request and answers it at once; it returns the upstream that got it.
+// serve makes a request, reports its success at once, and returns the upstream that received it.
 func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *upstream {
 	t.Helper()
 	b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
@@ -37,13 +37,15 @@
 	return u
 }
 
+// Guards against a wrong mean or a sample instead of a population deviation.
 func TestBandsMeanAndDeviation(t *testing.T) {
 	mean, dev := bands([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
-	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
-		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
+	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // squared differences sum to 0.32
+		t.Errorf("got mean %v, deviation %v; want 0.5, 0.2", mean, dev)
 	}
 }
 
+// Guards against an area that depends on the number of readings instead of their duration.
 func TestAreaIsIntegratedOverTimeNotSamples(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.ups[0]
@@ -51,10 +53,11 @@
 	b.integrate(u, time.Hour+250*ms)
 	b.integrate(u, time.Hour+500*ms)
 	if want := 2 * bandAlpha * 0.1 * 0.5; math.Abs(u.area-want) > 1e-9 {
-		t.Errorf("area %v, want %v", u.area, want)
+		t.Errorf("got area %v, want %v", u.area, want)
 	}
 }
 
+// Guards against an upstream at constant full load that keeps its share because its readings do not vary.
 func TestSaturatedUpstreamLosesShareGraduallyAndRegainsIt(t *testing.T) {
 	b, _ := start(t, settings(), fleet(3))
 	step := func(n int) {
@@ -62,7 +65,7 @@
 			for _, u := range b.ups {
 				u.readings, u.mean = bandWindow, 0.3
 			}
-			b.ups[0].mean = 1 // flat readings at full load: no deviation at all
+			b.ups[0].mean = 1 // constant readings at full load have no deviation
 			b.step(b.stepAt + bandPeriod)
 		}
 	}
@@ -70,17 +73,19 @@
 	first := b.ups[0].factor
 	step(40)
 	if first >= 1 || first < cutMost*cutMost || b.ups[0].factor != shareFloor || b.ups[1].factor != 1 {
-		t.Errorf("shares left: %v at first, then %v and %v", first, b.ups[0].factor, b.ups[1].factor)
+		t.Errorf("got share factor %v at first, then %v, and %v for another upstream; want a gradual decrease to the minimum, and 1",
+			first, b.ups[0].factor, b.ups[1].factor)
 	}
 	for range 80 {
 		b.ups[0].mean = 0.3
 		b.step(b.stepAt + bandPeriod)
 	}
 	if b.ups[0].factor != 1 {
-		t.Errorf("share left after rest: %v, want 1", b.ups[0].factor)
+		t.Errorf("got share factor %v after recovery, want 1", b.ups[0].factor)
 	}
 }
 
+// Guards against shares that are reduced when the load of all upstreams rises.
 func TestFleetWideRiseReducesNoShares(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for range 10 {
@@ -91,11 +96,12 @@
 	}
 	for _, u := range b.ups {
 		if u.factor != 1 {
-			t.Errorf("upstream %d is left %v of its share", u.ID, u.factor)
+			t.Errorf("upstream %d: got share factor %v, want 1", u.ID, u.factor)
 		}
 	}
 }
 
+// Guards against a report that is counted as a new reading in each response that repeats it.
 func TestRepeatedReportIsIgnored(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.ups[0]
@@ -103,89 +109,90 @@
 		b.read(u, Load{Fields: HasUtil, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
 	}
 	if u.readings != 3 {
-		t.Errorf("%d readings, want 3", u.readings)
+		t.Errorf("got %d readings, want 3", u.readings)
 	}
 }
 
+// Guards against readings from the wrong value of a report, or from latency although there are reports.
 func TestReadingSources(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		via  ReportMode
-		load Load
-		late float64
-		want float64
+		name         string
+		reports      ReportMode
+		load         Load
+		latencyRatio float64 // latency divided by the latency target
+		want         float64
 	}{
 		{"utilisation", ReportInResponses, Load{Fields: HasUtil | HasQueue, Util: 0.7, Queue: 9}, 0.2, 0.7},
-		{"held", ReportInResponses, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
-		{"waiting", ReportInResponses, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
-		{"no reports: latency against the aim", ReportNone, Load{}, 0.2, 0.2},
+		{"requests in flight", ReportInResponses, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
+		{"queue", ReportInResponses, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
+		{"no reports: latency relative to the target", ReportNone, Load{}, 0.2, 0.2},
 	} {
 		s := settings()
-		s.Reports = c.via
+		s.Reports = c.reports
 		b, _ := start(t, s, fleet(1))
-		if b.read(b.ups[0], c.load, true, c.late, time.Hour); math.Abs(b.ups[0].mean-c.want) > 1e-9 {
-			t.Errorf("%s: reading %v, want %v", c.name, b.ups[0].mean, c.want)
+		if b.read(b.ups[0], c.load, true, c.latencyRatio, time.Hour); math.Abs(b.ups[0].mean-c.want) > 1e-9 {
+			t.Errorf("%s: got reading %v, want %v", c.name, b.ups[0].mean, c.want)
 		}
 	}
 }
 
-// The paper's example: an even split turns 1, 3, 5 into 9, 13, 17 when one server keeps a third as
-// much as the other.
+// Guards against turns that are not interleaved evenly: with equal weights each upstream takes every second
+// turn, and with a third of the other's weight every fourth.
 func TestReducedWeightTakesEveryFourthTurn(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
-	one := b.ups[0]
+	reduced := b.ups[0]
 	turns := func(from, n int) (taken []int) {
 		for i := from; i < from+n; i++ {
-			if serve(t, b, time.Hour, RequestID(i)) == one {
+			if serve(t, b, time.Hour, RequestID(i)) == reduced {
 				taken = append(taken, i)
 			}
 		}
 		return taken
 	}
-	even := turns(1, 20)
-	one.weight = 1.0 / 3
-	quarter := turns(101, 40)
-	for i := 1; i < len(even); i++ {
-		if even[i]-even[i-1] != 2 {
-			t.Errorf("even split took turns %v", even)
+	evenTurns := turns(1, 20)
+	reduced.weight = 1.0 / 3
+	reducedTurns := turns(101, 40)
+	for i := 1; i < len(evenTurns); i++ {
+		if evenTurns[i]-evenTurns[i-1] != 2 {
+			t.Errorf("equal weights: got turns %v, want every second one", evenTurns)
 		}
 	}
-	for i := 2; i < len(quarter); i++ {
-		if quarter[i]-quarter[i-1] != 4 {
-			t.Errorf("a quarter took turns %v", quarter)
+	for i := 2; i < len(reducedTurns); i++ {
+		if reducedTurns[i]-reducedTurns[i-1] != 4 {
+			t.Errorf("a third of the other's weight: got turns %v, want every fourth one", reducedTurns)
 		}
 	}
-	if len(even) != 10 || len(quarter) < 9 {
-		t.Errorf("took %d of 20 and %d of 40 turns", len(even), len(quarter))
+	if len(evenTurns) != 10 || len(reducedTurns) < 9 {
+		t.Errorf("got %d of 20 and %d of 40 turns, want 10 and at least 9", len(evenTurns), len(reducedTurns))
 	}
 }
 
-// A restarted proxy once counted healthy upstreams as silent at their second answer, because usual
-// latency began without a deviation; the rest of the fleet then choked.
-func TestFirstResponsesDoNotShortenPatience(t *testing.T) {
+// Guards against healthy upstreams that count as silent after their first response, since the deviation of
+// their latency is not known yet.
+func TestFirstResponsesDoNotShortenSilenceTimeout(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
 	if p := b.patience(b.ups[0], 1); p < 150*ms {
-		t.Errorf("patience %v after an answer in 50ms", p)
+		t.Errorf("got silence timeout %v after a response in 50ms, want at least 150ms", p)
 	}
 }
 
-// A request with a short budget was once held past its deadline, since holds are looked at once a tick.
+// Guards against a request with a budget shorter than a tick that waits in the queue past its deadline.
 func TestShortBudgetIsRefusedInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	b.ups[0].freeAt = 2 * time.Hour
 	b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms})
 	if h.count("refuse id=1") != 1 {
-		t.Errorf("not refused at once: %v", h.lines)
+		t.Errorf("got actions %v, want request 1 refused at once", h.lines)
 	}
 }
 
-// Many requests of small hinted cost once pushed a cold upstream over.
+// Guards against a cold upstream that is overloaded by many requests with small cost hints.
 func TestColdUpstreamGetsFewSmallRequests(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	now := time.Hour
-	for i := range 4000 { // warm ones carry work for a while
+	for i := range 4000 { // lets the balancer learn the work of warm upstreams
 		now += 5 * ms
 		serve(t, b, now, RequestID(i+1))
 		if i%4 == 0 {
@@ -195,7 +202,7 @@
 	cold := Upstream{ID: 9, Zone: "near", Weight: 1, StartedAt: now}
 	b.Members(now, ListDelta, []Upstream{cold})
 	before := h.count("send")
-	for i := range 300 { // one window
+	for i := range 300 { // one OverloadWindow
 		now += 5 * ms
 		id := RequestID(10000 + i)
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second, Cost: ms})
@@ -209,13 +216,16 @@
 			toCold++
 		}
 	}
-	// A warm one carries 75 in the window at most; a cold one may get the margin of its rule's multiple.
-	limit := 40 // 75 x tipMargin x 3 x the share of capacity reached, 0.45
+	// A warm upstream receives up to 75 requests in the window. A cold one may get that times ColdCapacity
+	// (0.3), OverloadFactor (3) and a safety margin (0.6).
+	limit := 40
 	if toCold == 0 || toCold > limit || h.count("send")-before < 250 {
-		t.Errorf("a cold upstream got %d of %d sends, at most %d fit", toCold, h.count("send")-before, limit)
+		t.Errorf("got %d of %d requests sent to the cold upstream, want between 1 and %d, and at least 250 in all",
+			toCold, h.count("send")-before, limit)
 	}
 }
 
+// Guards against requests that wait for a silent upstream although another one could serve them.
 func TestSilentUpstreamIsSkippedAndItsRequestsRetried(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	for i := range 40 {
@@ -226,18 +236,19 @@
 	now := time.Hour + b.patience(u, 1) + 20*ms
 	b.Timer(now, tickToken)
 	if !u.silent || h.count("cancel id=100") != 1 {
-		t.Fatalf("silent %v; %v", u.silent, h.lines[len(h.lines)-4:])
+		t.Fatalf("got silent %v, last actions %v; want true and a cancelled attempt", u.silent, h.lines[len(h.lines)-4:])
 	}
 	b.Outcome(now, Outcome{ID: 100, Upstream: u.ID, Latency: 400 * ms, Status: Cancelled})
 	if r := b.requests[100]; r == nil || r.out != 1 || r.attempts[1].up == u {
-		t.Error("the request did not start again elsewhere")
+		t.Error("request was not sent to another upstream")
 	}
 }
 
+// Guards against a concurrency limit that stays high under late responses, or low after an overload.
 func TestOverloadedUpstreamRecovers(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.ups[0], time.Hour
-	answer := func(id RequestID, lat time.Duration) {
+	respond := func(id RequestID, lat time.Duration) {
 		now += time.Second
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 		if r := b.requests[id]; r != nil && r.out == 1 {
@@ -246,23 +257,25 @@
 		}
 	}
 	for i := range 30 {
-		answer(RequestID(i+1), 80*ms)
+		respond(RequestID(i+1), 80*ms)
 	}
 	healthy := u.bound
 	for i := range 20 {
-		answer(RequestID(i+100), 290*ms)
+		respond(RequestID(i+100), 290*ms)
 	}
 	if u.bound > healthy/4 {
-		t.Errorf("bound %v after late answers, %v before", u.bound, healthy)
+		t.Errorf("got limit %v after late responses, want at most a quarter of %v", u.bound, healthy)
 	}
 	u.freeAt = now
-	answer(500, 80*ms)
+	respond(500, 80*ms)
 	if u.bound < b.start {
-		t.Error("the bound does not come back with a good answer")
+		t.Error("limit was not restored by a fast response")
 	}
 }
 
-func TestHeldRequestsAreSentByWorthOnceListArrives(t *testing.T) {
+// Guards against requests that are refused before the first list has arrived, or then sent in another order
+// than by worth.
+func TestQueuedRequestsAreSentByWorthOnceListArrives(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	for i, class := range []string{"read", "write", "keyed"} {
 		b.Request(time.Hour, Request{ID: RequestID(i + 1), Class: class, Budget: time.Second})
@@ -275,34 +288,35 @@
 		}
 	}
 	if strings.Join(order, " ") != "id=3 id=2 id=1" {
-		t.Errorf("sent in order %v", order)
+		t.Errorf("got requests sent in order %v, want 3, 2, 1", order)
 	}
 }
 
+// Guards against retries of failed discovery calls without backoff, and against the loss of the list.
 func TestFailedDiscoveryCallsBackOff(t *testing.T) {
 	s := settings()
 	s.PollDiscovery = true
 	b, h := start(t, s, fleet(1))
 	b.Timer(time.Hour, watchToken)
 	if h.count("watch") != 1 {
-		t.Fatal("did not subscribe at the start")
+		t.Fatal("got no call of discovery after the first timer, want one")
 	}
 	var last time.Duration
 	for range 3 {
 		b.Members(time.Hour, ListFailed, nil)
 		if b.watchWait <= last {
-			t.Errorf("wait %v after %v", b.watchWait, last)
+			t.Errorf("got backoff %v, want more than %v", b.watchWait, last)
 		}
 		last = b.watchWait
 	}
 	b.Timer(time.Hour, watchToken)
 	if h.count("watch") != 2 || len(b.ups) != 1 {
-		t.Error("did not ask again, or lost the list")
+		t.Error("discovery was not called again, or the list was lost")
 	}
 }
 
-// What a silent watch misses, or discovery tells after it has moved, soon counts as told. With 350 balancers turns are
-// drawn over seconds: a balancer that waited for its own sent to servers that were told as leaving.
+// Guards against a stale list that is refreshed too late: after a silent watch or a move of discovery,
+// calls must not be spread over all balancers until a list has arrived.
 func TestStaleListIsRequestedAtOnce(t *testing.T) {
 	s := settings()
 	s.PollDiscovery, s.Balancers, s.Requirements.MaxDiscoveryInterval = true, 350, 10*time.Second
@@ -315,7 +329,7 @@
 	}
 	b.Members(time.Hour, ListStale, nil)
 	if h.count("watch") != 1 || wait != 0 {
-		t.Fatalf("%d calls, the next after %v", h.count("watch"), wait)
+		t.Fatalf("got %d calls, and a timer of %v; want 1 call and no timer", h.count("watch"), wait)
 	}
 	var total time.Duration
 	for range 3 { // these calls fail
@@ -323,18 +337,18 @@
 		total += wait
 	}
 	if total > 4*time.Second {
-		t.Errorf("three calls more take %v: the new discovery's news has counted as told", total)
+		t.Errorf("got three retries within %v, want at most 4s", total)
 	}
 	b.Members(time.Hour, ListDelta, nil)
 	if b.Members(time.Hour, ListFailed, nil); wait < b.turnOfCalls()/2 {
-		t.Errorf("once a list has come the next call after a failure comes in %v, with no regard to the others", wait)
+		t.Errorf("got a retry after %v once a list has arrived, want retries spread over all balancers", wait)
 	}
 }
 
-// Whatever failed, a change counts as told 6 s after discovery had it and could be asked. It may have come back the moment
-// after a call was made that fails yet. Of many balancers one in some hundreds waited longer, and sent to what drained.
+// Guards against a retry that comes too late after a failed call: discovery may have recovered just after
+// that call began, and every change must be known 6 s after it.
 func TestRetryAfterFailedCallMeetsUpdateDeadline(t *testing.T) {
-	const deadline, callDuration = 6 * time.Second, time.Second // as the standing test's page has it; the next call's own time
+	const updateDeadline, callDuration = 6 * time.Second, time.Second // callDuration: of the retry itself
 	for _, balancers := range []int{1, 30, 300, 950} {
 		s := settings()
 		s.PollDiscovery, s.Balancers, s.Requirements.MaxDiscoveryInterval = true, balancers, 10*time.Second
@@ -351,26 +365,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Members(now, ListFull, fleet(1)) // a watch ends when discovery goes down
+			b.Members(now, ListFull, fleet(1)) // the watch ends by an outage a minute later
 			now += time.Minute
 			b.Members(now, ListFailed, nil)
 			for call := range 8 {
 				startedAt, failedAfter := now, []time.Duration{0, time.Millisecond, 2 * time.Second}[call%3]
-				if call > 0 { // the first is the watch
+				if call > 0 { // call 0 is the watch
 					b.Timer(now, watchToken)
 					now += failedAfter
 					b.Members(now, ListFailed, nil)
 				}
-				if now += wait; now-startedAt > deadline-callDuration {
-					t.Fatalf("%d balancers: call %d fails after %v, the next comes %v after it", balancers, call, failedAfter, now-startedAt)
+				if now += wait; now-startedAt > updateDeadline-callDuration {
+					t.Fatalf("%d balancers: call %d failed after %v: got a retry %v after its start, want at most 5s",
+						balancers, call, failedAfter, now-startedAt)
 				}
 			}
 		}
 	}
 }
 
-// Discovery serves calls in turn, and works on those that have waited too long as well: eighty at once, and again
-// soon after their failure, kept it from answering any.
+// Guards against calls by all balancers at the same time. Discovery serves them one after another,
+// including those that have timed out, so too many at once keep it from answering any.
 func TestDiscoveryCallsAreSpread(t *testing.T) {
 	for _, balancers := range []int{2, 80} {
 		s := settings()
@@ -390,25 +405,28 @@
 				t.Fatal(err)
 			}
 			if b.Members(time.Hour, ListFailed, nil); h.count("watch") > 0 || len(waits) != 2 {
-				t.Fatalf("%d balancers: %d calls at once, waits %v", balancers, h.count("watch"), waits)
+				t.Fatalf("%d balancers: got %d immediate calls and timers %v, want no call and 2 timers",
+					balancers, h.count("watch"), waits)
 			}
 			first, second = append(first, waits[0]), append(second, waits[1])
 		}
 		if slices.Max(first) > period || slices.Min(second) < period/2 {
-			t.Errorf("%d balancers: first calls up to %v, after a failure from %v on", balancers, slices.Max(first), slices.Min(second))
+			t.Errorf("%d balancers: got first calls up to %v after the start, retries from %v on; want first calls within the time in which discovery can serve all balancers, retries after half of it",
+				balancers, slices.Max(first), slices.Min(second))
 		}
 		for _, waits := range [][]time.Duration{first, second} {
 			slices.Sort(waits)
-			for i, at := range waits { // twice as many as can be served are let pass, for chance
+			for i, at := range waits { // allows twice the even number, for chance
 				n, _ := slices.BinarySearch(waits, at+period/4)
 				if limit := max(2, balancers/2); n-i > limit {
-					t.Errorf("%d balancers: %d calls within %v", balancers, n-i, period/4)
+					t.Errorf("%d balancers: got %d calls within %v, want at most half of them", balancers, n-i, period/4)
 				}
 			}
 		}
 	}
 }
 
+// Guards against invalid settings that are accepted, or rejected without the name of the setting.
 func TestInvalidSettings(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
 		"Classes":                               func(s *Settings) { s.Classes = nil },
@@ -440,26 +458,26 @@
 		invalidate(&s)
 		_, err := New(s, 1, 0, &recorder{})
 		if !errors.Is(err, ErrInvalidSettings) || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: got error %v, want ErrInvalidSettings with that name", field, err)
 		}
 	}
 	rejected := func(s Settings) bool { _, err := NewPlan(s, func() {}); return errors.Is(err, ErrInvalidSettings) }
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		s := settings()
 		if s.Requirements.OverloadFactor = f; !rejected(s) {
-			t.Errorf("OverloadFactor %v is taken", f)
+			t.Errorf("OverloadFactor %v: got no error, want ErrInvalidSettings", f)
 		}
 		s = settings()
 		if s.Requirements.ColdCapacity = f; !rejected(s) {
-			t.Errorf("ColdCapacity %v is taken", f)
+			t.Errorf("ColdCapacity %v: got no error, want ErrInvalidSettings", f)
 		}
 	}
 	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrInvalidSettings) || !strings.Contains(err.Error(), "Host") {
-		t.Errorf("no host: error %v", err)
+		t.Errorf("nil host: got error %v, want ErrInvalidSettings with \"Host\"", err)
 	}
 }
 
-// Odd figures from owners are passed over; a mean that took one in would stay poisoned.
+// Guards against invalid values in events that reach running means, which would never recover from a NaN.
 func TestInvalidValuesDoNotSpoilMeans(t *testing.T) {
 	values := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
 	list := fleet(len(values))
@@ -484,27 +502,28 @@
 		b.Timer(now, 12345)
 	}
 	for _, u := range b.ups {
-		for name, x := range map[string]float64{"mean": u.mean, "dev": u.dev, "weight": u.weight, "latency": u.lat,
-			"bound": u.bound, "due": u.due, "area": u.area, "factor": u.factor} {
+		for name, x := range map[string]float64{"mean": u.mean, "deviation": u.dev, "weight": u.weight, "latency": u.lat,
+			"limit": u.bound, "next turn": u.due, "area": u.area, "factor": u.factor} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
+				t.Errorf("upstream %d: got %s %v, want a finite value that is not negative", u.ID, name, x)
 			}
 		}
 	}
 	if h.count("send") < 300 || h.count("timer") > 401 {
-		t.Errorf("%d sends of 400, %d timers", h.count("send"), h.count("timer"))
+		t.Errorf("got %d sends of 400 requests and %d timers, want at least 300 and at most 401",
+			h.count("send"), h.count("timer"))
 	}
 }
 
-// Without a list, with an emptied one, and for a budget that is used up, the answer is true and comes at once or
-// within the budget.
+// Guards against requests that get no answer or a Fail when there is no list, an empty list, no budget left
+// or an unknown class, and against events with unknown ids.
 func TestRequestsWithoutUpstreamsAreRefused(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 0})
 	b.Request(time.Hour, Request{ID: 2, Class: "write", Budget: -time.Second})
 	b.Request(time.Hour, Request{ID: 3, Class: "no such class", Budget: time.Second})
 	if h.count("refuse") != 3 {
-		t.Errorf("not refused at once: %v", h.lines)
+		t.Errorf("no list: got actions %v, want 3 immediate refusals", h.lines)
 	}
 	b.Members(time.Hour, ListFull, fleet(4))
 	b.Members(time.Hour, ListFull, nil)
@@ -517,12 +536,12 @@
 	b.BodyComplete(time.Hour+time.Second, 77)
 	b.Outcome(time.Hour+time.Second, Outcome{ID: 4, Attempt: -1})
 	if h.count("refuse id=4") != 1 || h.count("send") != 0 {
-		t.Errorf("with an emptied list: %v", h.lines)
+		t.Errorf("empty list: got actions %v, want request 4 refused", h.lines)
 	}
 }
 
-// The operators' staff carry a printed copy of what decides, so it stays short: all files that deploy/balancer.toml names
-// as policy together, and balancer.go by itself.
+// Guards against a decision module that outgrows its limits: operators print the policy files that
+// deploy/balancer.toml lists, so their number of lines and the width of lines are limited.
 func TestModuleSize(t *testing.T) {
 	toml, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
@@ -530,7 +549,7 @@
 	}
 	policy := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(toml)
 	if policy == nil {
-		t.Fatal("deploy/balancer.toml names no policy")
+		t.Fatal("deploy/balancer.toml: got no policy key, want one")
 	}
 	lines := map[string]int{}
 	all := 0
@@ -546,18 +565,19 @@
 				all++
 			}
 			if len(l) > 110 && name == "balancer.go" || len(l) > 130 {
-				t.Errorf("%s: line %d has %d characters", name, i+1, len(l))
+				t.Errorf("%s: line %d: got %d bytes, want at most 130, or 110 in balancer.go", name, i+1, len(l))
 			}
 		}
 	}
 	if lines["balancer.go"] == 0 || lines["state.go"] == 0 {
-		t.Errorf("policy names %s, not both of the files that decide", policy[1])
+		t.Errorf("got policy files %s, want balancer.go and state.go among them", policy[1])
 	}
 	if all > 1200 || lines["balancer.go"] > 800 {
-		t.Errorf("%d lines: %v", all, lines)
+		t.Errorf("got %d lines, want at most 1200 in all and 800 in balancer.go: %v", all, lines)
 	}
 }
 
+// BenchmarkRequest measures a request with one successful attempt.
 func BenchmarkRequest(b *testing.B) {
 	bal, err := New(settings(), 1, 0, &discardHost{})
 	if err != nil {
@@ -575,14 +595,14 @@
 	}
 }
 
-// silentHost carries out nothing, for the benchmark.
+// discardHost is a Host that ignores all actions, for the benchmark.
 type discardHost struct{ Host }
 
 func (discardHost) Send(RequestID, UpstreamID, time.Duration, time.Duration) {}
 func (discardHost) Refuse(RequestID, time.Duration)                          {}
 func (discardHost) SetTimer(time.Duration, uint64)                           {}
 
-// With many balancers the trickle of all together once kept a choked server from the rest it needs.
+// Guards against a minimum limit per balancer whose sum over many balancers keeps an upstream overloaded.
 func TestMinimumLimitIsSharedByAllBalancers(t *testing.T) {
 	for _, n := range []int{2, 24} {
 		s := settings()
@@ -592,12 +612,13 @@
 			b.shrink(b.ups[0], time.Hour+time.Duration(i)*time.Second, boundCut)
 		}
 		if total := b.ups[0].bound * float64(n); math.Abs(total-boundLeast) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, boundLeast)
+			t.Errorf("%d balancers: got a total limit of %v, want %v", n, total, boundLeast)
 		}
 	}
 }
 
-// A balancer that started while a server was choked once took its slow answers for usual.
+// Guards against a balancer that starts while an upstream is overloaded, and takes its high latency for
+// normal.
 func TestOverloadedUpstreamIsComparedWithFleet(t *testing.T) {
 	b, _ := start(t, settings(), fleet(8))
 	for _, u := range b.ups {
@@ -609,25 +630,26 @@
 	a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
 	b.learn(a, Outcome{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
 	if u.bound >= b.start {
-		t.Errorf("bound %v after an answer three times as slow as the fleet's least", u.bound)
+		t.Errorf("got limit %v after a latency of more than three times the fleet's lowest, want a lower one", u.bound)
 	}
 }
 
-// Many balancers that started together once sent to every server at once and choked the fleet.
+// Guards against balancers that start at the same time and send their first requests to every upstream at
+// once.
 func TestFirstRequestsAreSpread(t *testing.T) {
 	s := settings()
 	s.Balancers = 8 // all of them use all upstreams
 	b, _ := start(t, s, fleet(20))
 	later := 0
 	for _, u := range b.ups {
-		if u.freeAt > time.Hour+b.pause(u)/10 { // 50 ms were a tenth of the pause before there were subsets
+		if u.freeAt > time.Hour+b.pause(u)/10 { // waits for more than a tenth of the pause
 			later++
 		}
 	}
 	if later < 10 {
-		t.Errorf("%d of 20 upstreams wait for their first attempt", later)
+		t.Errorf("got %d of 20 upstreams waiting for their first attempt, want at least 10", later)
 	}
-	s.Balancers = 24 // each uses some
+	s.Balancers = 24 // each uses a subset
 	got := map[UpstreamID]int{}
 	for s.Rank = range s.Balancers {
 		h := &recorder{}
@@ -636,7 +658,7 @@
 			t.Fatal(err)
 		}
 		b.Members(time.Hour, ListCached, fleet(20))
-		for i := range 10 { // more than it may have out at once
+		for i := range 10 { // more than may be in flight
 			b.Request(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Budget: time.Second})
 		}
 		for _, u := range b.ups {
@@ -645,30 +667,31 @@
 	}
 	for id, n := range got {
 		if n > 2*sharers {
-			t.Errorf("upstream %d was sent %d at once by 24 balancers", id, n)
+			t.Errorf("upstream %d: got %d requests at once from 24 balancers, want at most 8", id, n)
 		}
 	}
 }
 
-// Balancers that began in overload once let bounds grow at servers that were busy already.
-func TestLimitDoesNotGrowAtFullUtilization(t *testing.T) {
+// Guards against limits that grow while an upstream is fully utilised.
+func TestLimitDoesNotGrowAtFullUtilisation(t *testing.T) {
 	for _, c := range []struct {
-		use   float64
-		grows bool
+		utilisation float64
+		grows       bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := start(t, settings(), fleet(1))
 		u := b.ups[0]
-		u.mean, u.readings, u.least, b.tightAt = c.use, bandWindow, float64(50*ms), time.Hour
+		u.mean, u.readings, u.least, b.tightAt = c.utilisation, bandWindow, float64(50*ms), time.Hour
 		before := u.bound
 		b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 50 * ms, Status: OK}, time.Hour)
 		if (u.bound > before) != c.grows {
-			t.Errorf("use %v: bound %v, then %v", c.use, before, u.bound)
+			t.Errorf("utilisation %v: got limit %v before a response, %v after it; want growth only below full utilisation",
+				c.utilisation, before, u.bound)
 		}
 	}
 }
 
-// One balancer of four was left for ten seconds, and refused most of its requests beside idle servers: live
-// weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
+// Guards against latency that is judged relative to weight: load-adjusted weights rise while an upstream is
+// idle, and its normal latency must not look like overload then.
 func TestIdleUpstreamOfHighWeightIsNotTakenForOverloaded(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for _, u := range b.ups {
@@ -679,11 +702,11 @@
 	u.weight, u.bound, b.tightAt = 3, 2, time.Hour
 	b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 55 * ms, Status: OK}, time.Hour)
 	if u.bound <= 2 {
-		t.Errorf("bound %v, want more than 2", u.bound)
+		t.Errorf("got limit %v, want more than 2", u.bound)
 	}
 }
 
-// Where many balancers see few answers each, a server whose latency merely varies was cut again and again.
+// Guards against limits that are reduced for latency that varies, when each balancer sees few responses.
 func TestVaryingLatencyIsNotTakenForOverload(t *testing.T) {
 	s := settings()
 	s.Balancers = 8
@@ -694,90 +717,90 @@
 		now := 2*time.Hour + time.Duration(i)*time.Second
 		b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: lat, Status: OK}, now)
 		if i > 8 && u.bound < b.start {
-			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.bound, b.start)
+			t.Fatalf("response %d, latency %v: got limit %v, want at least %v", i, lat, u.bound, b.start)
 		}
 	}
 }
 
-// Bounds once doubled each round trip: many balancers choked a fleet before the first reading told of full use.
+// Guards against limits that grow many times over before the next reading can show full utilisation.
 func TestLimitAtMostDoublesPerPeriod(t *testing.T) {
 	s := settings()
 	s.Balancers = 1
 	b, _ := start(t, s, fleet(1))
 	u := b.ups[0]
 	u.least = float64(10 * ms)
-	answers := func(now time.Duration) {
+	respond := func(now time.Duration) {
 		for range 50 {
 			b.tightAt = now
 			b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
 		}
 	}
-	answers(time.Hour)
+	respond(time.Hour)
 	if u.bound != boundStart {
-		t.Errorf("bound %v before the first period has passed, want %v", u.bound, boundStart)
+		t.Errorf("got limit %v in the first period, want %v", u.bound, boundStart)
 	}
 	b.step(time.Hour + bandPeriod)
-	answers(time.Hour + bandPeriod)
+	respond(time.Hour + bandPeriod)
 	if u.bound != 2*boundStart {
-		t.Errorf("bound %v in the next period, want %v", u.bound, 2*boundStart)
+		t.Errorf("got limit %v in the next period, want %v", u.bound, 2*boundStart)
 	}
 }
 
-// Single late answers are chance where latency varies; each once cut the bound, and turns were refused.
+// Guards against limits that are reduced for single slow responses instead of overload.
 func TestOnlyOverloadReducesLimit(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lat   time.Duration
-		calm  time.Duration
-		short bool
+		name    string
+		lat     time.Duration
+		calm    time.Duration
+		reduced bool
 	}{
-		{"usual latency near the aim", 280 * ms, 200 * ms, false},
-		{"twice the calm latency, a third of the aim", 100 * ms, 50 * ms, false},
-		{"twice the calm latency, most of the aim", 240 * ms, 120 * ms, true},
+		{"normal latency near the target", 280 * ms, 200 * ms, false},
+		{"twice the normal latency, a third of the target", 100 * ms, 50 * ms, false},
+		{"twice the normal latency, most of the target", 240 * ms, 120 * ms, true},
 	} {
 		b, _ := start(t, settings(), fleet(1))
 		u := b.ups[0]
 		u.lat, u.units, u.slow, u.calm = float64(c.lat), 1, float64(c.calm), float64(c.calm)
 		b.learn(&attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}, Outcome{Latency: c.lat, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.short {
-			t.Errorf("%s: bound %v, at first %v", c.name, u.bound, b.start)
+		if (u.bound < b.start) != c.reduced {
+			t.Errorf("%s: got limit %v, initial limit %v; want it reduced only for overload", c.name, u.bound, b.start)
 		}
 	}
 }
 
-// Hundreds of balancers with connections to every upstream once filled all connection tables, and no
-// balancer saw enough of any upstream to judge it.
+// Guards against subsets that are too large, which would exhaust connections and leave each balancer too
+// few responses from each upstream, and against upstreams that are used by too many or too few balancers.
 func TestSubsetsAreSmallAndEven(t *testing.T) {
-	for _, c := range []struct{ balancers, upstreams, least, most int }{
-		{8, 20, 20, 20},   // few balancers, twice the sharers: all upstreams
-		{90, 20, 2, 2},    // never fewer than can be shared between
-		{400, 60, 2, 2},   // as many balancers as these need
-		{100, 60, 3, 3},   // about sharers an upstream
-		{12, 20, 10, 10},  // in between: the width falls smoothly
-		{1200, 250, 2, 2}, // larger than any so far
+	for _, c := range []struct{ balancers, upstreams, minSize, maxSize int }{
+		{8, 20, 20, 20},   // few balancers: all upstreams
+		{90, 20, 2, 2},    // the minimum
+		{400, 60, 2, 2},   // many balancers for each upstream: the minimum
+		{100, 60, 3, 3},   // about 4 balancers for each upstream
+		{12, 20, 10, 10},  // between these: the size falls gradually
+		{1200, 250, 2, 2}, // a very large fleet
 	} {
 		s := settings()
 		s.Balancers = c.balancers
 		used := map[UpstreamID]int{}
 		for s.Rank = range c.balancers {
 			b, _ := start(t, s, fleet(c.upstreams))
-			if n := len(b.near); n < c.least || n > c.most {
-				t.Fatalf("%+v: a balancer uses %d upstreams", c, n)
+			if n := len(b.near); n < c.minSize || n > c.maxSize {
+				t.Fatalf("%+v: got a subset of %d upstreams", c, n)
 			}
 			for _, u := range b.near {
 				used[u.ID]++
 			}
 		}
-		mean := float64(c.balancers*c.least) / float64(c.upstreams)
+		mean := float64(c.balancers*c.minSize) / float64(c.upstreams)
 		for id := range c.upstreams {
 			if n := float64(used[UpstreamID(id+1)]); n < 0.6*mean || n > 1.4*mean {
-				t.Errorf("%+v: upstream %d serves %v balancers, the mean is %v", c, id+1, n, mean)
+				t.Errorf("%+v: upstream %d: got %v balancers, want 0.6 to 1.4 times the mean %v", c, id+1, n, mean)
 			}
 		}
 	}
 }
 
-// With most of a small subset gone, a balancer once had nobody to send to while the fleet was well.
+// Guards against a subset without usable upstreams while others of the fleet are healthy.
 func TestSubsetExtendsPastSilentAndColdUpstreams(t *testing.T) {
 	s := settings()
 	s.Balancers = 40
@@ -787,24 +810,25 @@
 	before[1].cold, before[1].coldAt = true, time.Hour
 	b.gather(time.Hour)
 	if len(b.near) != len(before)+2 {
-		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.near))
+		t.Errorf("got a subset of %d at first, then %d with one silent and one cold upstream; want 2 more",
+			len(before), len(b.near))
 	}
 	gone := before[2].Upstream
 	gone.State = Draining
 	b.Members(time.Hour, ListDelta, []Upstream{gone})
 	if before[2].member || len(b.near) != len(before)+2 {
-		t.Errorf("a draining upstream was not replaced: %d in use", len(b.near))
+		t.Errorf("got a subset of %d after one started to drain, want it replaced", len(b.near))
 	}
 	before[0].silent, before[1].cold = false, false
 	b.gather(time.Hour)
 	if len(b.near) != len(before) {
-		t.Errorf("%d in use after all came back, %d at first", len(b.near), len(before))
+		t.Errorf("got a subset of %d after recovery, want %d as at first", len(b.near), len(before))
 	}
 }
 
-// A short class was once refused whenever no turn was free: the mean latency of all classes exceeded its aim, so
-// there never seemed to be time to hold it.
-func TestFastClassIsHeldByItsOwnLatency(t *testing.T) {
+// Guards against requests of a fast class that are refused because the mean latency of all classes exceeds
+// the target of their own class.
+func TestFastClassIsQueuedByItsOwnLatency(t *testing.T) {
 	s := settings()
 	s.Classes[2].LatencyTarget = 200 * ms
 	b, h := start(t, s, fleet(1))
@@ -823,60 +847,61 @@
 	b.ups[0].freeAt = now + time.Minute
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || !r.held || r.units > 0.5 {
-		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
+		t.Errorf("got action %v, want the request queued: its target is five times the latency of its class",
+			h.lines[len(h.lines)-1])
 	}
 }
 
-// Where flows are thin an answer near the least latency is rare, and bounds stayed where they began while the
-// servers idled: a third of the requests was refused. Readings decide there.
+// Guards against limits that never grow when a balancer gets few responses, of which hardly any has the
+// lowest latency. Readings decide then.
 func TestLimitGrowsByReadingsAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		use       float64
-		grows     bool
+		balancers   int
+		utilisation float64
+		grows       bool
 	}{{8, 0.4, true}, {8, 0.9, false}, {2, 0.4, false}} {
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
 		u := b.ups[0]
-		u.readings, u.mean, u.least, u.slow, u.calm = bandWindow, c.use, float64(30*ms), float64(60*ms), float64(60*ms)
+		u.readings, u.mean, u.least, u.slow, u.calm = bandWindow, c.utilisation, float64(30*ms), float64(60*ms), float64(60*ms)
 		b.tightAt = time.Hour
 		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
-		b.learn(a, Outcome{Latency: 60 * ms, Status: OK}, time.Hour) // twice the least
+		b.learn(a, Outcome{Latency: 60 * ms, Status: OK}, time.Hour) // twice the lowest latency
 		if (u.bound > b.start) != c.grows {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+			t.Errorf("%+v: got limit %v, initial limit %v", c, u.bound, b.start)
 		}
 	}
 }
 
-// In overload a third of all turns went to clients' later tries whose aim had passed before they were sent.
+// Guards against retries past their latency target that use up capacity in an overload.
 func TestLateRetryIsRefusedWhileCapacityIsShort(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		budget time.Duration // of 1 s; the aim is 300 ms
-		tight  bool
+		budget time.Duration // left of 1 s; the latency target is 300 ms
+		short  bool          // capacity is short
 		sent   bool
 	}{
 		{"first try", time.Second, true, true},
-		{"later try with time left", 950 * ms, true, true},
-		{"later try past the aim", 500 * ms, true, false},
-		{"later try past the aim, turns free", 500 * ms, false, true},
+		{"retry with time left", 950 * ms, true, true},
+		{"retry past the target", 500 * ms, true, false},
+		{"retry past the target, capacity free", 500 * ms, false, true},
 	} {
 		b, h := start(t, settings(), fleet(4))
 		b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
 		now := time.Hour + time.Second
-		if c.tight {
+		if c.short {
 			b.tightAt = now
 		}
 		b.Request(now, Request{ID: 2, Class: "write", Budget: c.budget})
 		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
-			t.Errorf("%s: %v", c.name, h.lines[len(h.lines)-1])
+			t.Errorf("%s: got last action %v", c.name, h.lines[len(h.lines)-1])
 		}
 	}
 }
 
-// At full size a balancer's part of a cold upstream's budget is under one request: none was sent until the ramp
-// had ended, and then all balancers sent their full share at once. Over many balancers it must come to the part.
+// Guards against a cold upstream that gets no requests from many balancers because each one's part of its
+// budget is less than one request, or too many because each part is rounded up.
 func TestColdUpstreamIsUsedByManyBalancersWithinItsBudget(t *testing.T) {
 	const balancers, window = 200, 1500 * ms
 	s, sent := settings(), 0
@@ -890,10 +915,10 @@
 		list := fleet(3)
 		list[2].StartedAt = time.Hour
 		b.Members(time.Hour, ListCached, list)
-		b.carry = 0.2 // requests a second that a warm upstream takes from this balancer
+		b.carry = 0.2 // requests per second that a warm upstream gets from this balancer
 		for i := range 150 {
 			for _, u := range b.ups[:2] {
-				u.freeAt = 2 * time.Hour // all the traffic asks for the cold one
+				u.freeAt = 2 * time.Hour // leaves only the cold one for all traffic
 			}
 			now := time.Hour + time.Duration(i)*10*ms
 			b.Request(now, Request{ID: RequestID(i + 1), Class: "read", Budget: time.Second})
@@ -903,19 +928,19 @@
 		}
 		sent += h.count("send")
 	}
-	// All together may send what a warm one takes times the multiple and the ramp, at most.
+	// Limit for all balancers: the rate of a warm upstream times OverloadFactor (3) and the capacity
+	// reached (0.4).
 	if limit := 0.2 * balancers * 3 * 0.4 * window.Seconds(); sent == 0 || float64(sent) > limit {
-		t.Errorf("%d sent to a cold upstream, 1 to %v fit", sent, limit)
+		t.Errorf("got %d requests sent to the cold upstream, want 1 to %v", sent, limit)
 	}
 }
 
-// What a server had got while it was warm once counted against its cold budget when it came back: it got nothing
-// until its ramp had ended.
+// Guards against requests sent before a restart that count against the cold budget after it.
 func TestRestartedUpstreamGetsNewColdBudget(t *testing.T) {
 	list := fleet(2)
 	b, h := start(t, settings(), list)
 	now := time.Hour
-	for i := range 400 { // both warm, 100 requests a second
+	for i := range 400 { // both are warm, 100 requests per second in all
 		now += 10 * ms
 		b.Timer(now, tickToken)
 		serve(t, b, now, RequestID(i+1))
@@ -925,21 +950,22 @@
 	u, before := b.byID[1], h.count("send")
 	for i := range 200 {
 		now += 10 * ms
-		b.byID[2].freeAt = now + time.Hour // all the traffic asks for the cold one
+		b.byID[2].freeAt = now + time.Hour // leaves only the cold one for all traffic
 		b.Request(now, Request{ID: RequestID(1000 + i), Class: "read", Budget: time.Second})
 		if r := b.requests[RequestID(1000+i)]; r != nil && r.out > 0 {
 			b.Outcome(now, Outcome{ID: r.ID, Upstream: u.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 		}
 	}
 	if sent := h.count("send") - before; !u.cold || sent < 10 {
-		t.Errorf("%d of 200 requests sent to a restarted upstream (cold: %v) that carried 50 a second", sent, u.cold)
+		t.Errorf("got %d of 200 requests sent to the restarted upstream (cold: %v), want at least 10 and cold", sent, u.cold)
 	}
 }
 
-// Half of the cold budget is kept for bursts. One that reports use to spare is not near its limit, and gets it whole.
+// Guards against the reserve for bursts in the cold budget being kept although the upstream reports low
+// utilisation.
 func TestColdUpstreamWithSpareCapacityGetsWholeBudget(t *testing.T) {
 	sent := map[float64]int{}
-	for _, utilization := range []float64{0.3, 0.95} {
+	for _, utilisation := range []float64{0.3, 0.95} {
 		s := settings()
 		list := fleet(2)
 		list[0].StartedAt = time.Hour
@@ -947,67 +973,70 @@
 		b.carry = 20
 		for i := range 300 {
 			now := time.Hour + time.Duration(i)*10*ms
-			b.byID[2].freeAt = now + time.Hour // all the traffic asks for the cold one
+			b.byID[2].freeAt = now + time.Hour // leaves only the cold one for all traffic
 			id := RequestID(i + 1)
 			b.Request(now, Request{ID: id, Class: "read", Budget: time.Second})
 			if r := b.requests[id]; r != nil && r.out > 0 {
-				load := Load{Fields: HasUtil | HasRequestRate, Util: utilization, RequestRate: float64(i)}
+				load := Load{Fields: HasUtil | HasRequestRate, Util: utilisation, RequestRate: float64(i)}
 				b.Outcome(now, Outcome{ID: id, Upstream: 1, Latency: 5 * ms, Status: OK, RequestDone: true, Load: load})
 			}
 		}
-		sent[utilization] = h.count("send")
-		// In 3 s it may be sent its least capacity, which rises from 0.3 to 0.53, times the multiple.
-		if limit := 20 * 3 * 0.42 * 3.0; float64(sent[utilization]) > limit {
-			t.Errorf("%d sent at a use of %v, %v fit", sent[utilization], utilization, limit)
+		sent[utilisation] = h.count("send")
+		// Limit for 3 s, in which capacity rises from 0.3 to 0.53: 20/s * OverloadFactor (3) * 0.42 * 3 s.
+		if limit := 20 * 3 * 0.42 * 3.0; float64(sent[utilisation]) > limit {
+			t.Errorf("got %d requests sent at utilisation %v, want at most %v", sent[utilisation], utilisation, limit)
 		}
 	}
 	if sent[0.3] < sent[0.95]*5/4 {
-		t.Errorf("%d sent at a use of 0.3, %d at 0.95", sent[0.3], sent[0.95])
+		t.Errorf("got %d requests sent at utilisation 0.3, %d at 0.95; want at least a quarter more at 0.3",
+			sent[0.3], sent[0.95])
 	}
 }
 
-// Single long answers of heavy-tailed work cut the bounds of thin flows at half use, and a fifth was refused.
-func TestLimitIsNotReducedAtLowTrafficAndUtilization(t *testing.T) {
+// Guards against limits that are reduced for single slow responses when a balancer gets few responses and
+// utilisation is low.
+func TestLimitIsNotReducedAtLowTrafficAndUtilisation(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		use       float64
-		cut       bool
+		balancers   int
+		utilisation float64
+		reduced     bool
 	}{{8, 0.5, false}, {8, 0.95, true}, {2, 0.5, true}} {
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
 		u := b.ups[0]
-		u.readings, u.mean, u.lat, u.units, u.slow, u.calm = 1, c.use, float64(250*ms), 1, float64(60*ms), float64(60*ms)
+		u.readings, u.mean, u.lat, u.units, u.slow, u.calm = 1, c.utilisation, float64(250*ms), 1, float64(60*ms), float64(60*ms)
 		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u}
 		b.learn(a, Outcome{Latency: 250 * ms, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.cut {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+		if (u.bound < b.start) != c.reduced {
+			t.Errorf("%+v: got limit %v, initial limit %v", c, u.bound, b.start)
 		}
 	}
 }
 
-// Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and refused at others.
+// Guards against the pause between attempts applying to an upstream that has been idle, since requests
+// arrive at random.
 func TestIdleUpstreamMayTakeOneAttemptAtOnce(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.ups[0]
 	u.bound, u.lat = 0.2, float64(100*ms)
-	answer := func(sent time.Duration) {
+	respond := func(sent time.Duration) {
 		u.bound = 0.2
 		a := &attempt{r: &request{class: b.class("write", nil), units: 1}, up: u, sentAt: sent}
 		b.learn(a, Outcome{Latency: 100 * ms, Status: Error}, sent+100*ms)
 	}
-	now := 2 * time.Hour // idle for long
-	if answer(now); u.freeAt > now+100*ms {
-		t.Errorf("after one attempt: free after %v", u.freeAt-now)
+	now := 2 * time.Hour // idle for an hour
+	if respond(now); u.freeAt > now+100*ms {
+		t.Errorf("after one attempt: got a pause until %v, want at most 100ms", u.freeAt-now)
 	}
-	if answer(now + 100*ms); u.freeAt < now+500*ms {
-		t.Errorf("after two in a row: free after %v", u.freeAt-now)
+	if respond(now + 100*ms); u.freeAt < now+500*ms {
+		t.Errorf("after two attempts in a row: got a pause until %v, want at least 500ms", u.freeAt-now)
 	}
 }
 
-// Where flows are thin an upstream's mean is about its last answer; one quick answer once made the next, usual one
-// look like silence, and the upstream's turns were skipped.
-func TestOneFastResponseDoesNotShortenPatience(t *testing.T) {
+// Guards against an upstream that counts as silent after a fast response, when a balancer gets so few
+// responses that the mean follows the last one.
+func TestOneFastResponseDoesNotShortenSilenceTimeout(t *testing.T) {
 	s := settings()
 	s.Balancers = 8
 	b, _ := start(t, s, fleet(1))
@@ -1017,12 +1046,12 @@
 		b.learn(a, Outcome{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
 	if p := b.patience(u, 1); p < 200*ms {
-		t.Errorf("patience %v where answers take 100ms as a rule", p)
+		t.Errorf("got silence timeout %v with latencies of about 100ms, want at least 200ms", p)
 	}
 }
 
-// Each balancer once let its bound grow for itself while a server had use to spare. At the next peak all of them filled
-// their bounds at once, and the backlog choked the server for as long as it lasted.
+// Guards against limits that each balancer raises while utilisation is low, and whose sum overloads the
+// upstream at the next peak.
 func TestTotalLimitOfAllBalancersIsCapped(t *testing.T) {
 	for _, balancers := range []int{1, 2, 4} {
 		s := settings()
@@ -1038,7 +1067,7 @@
 			b.step(now)
 		}
 		if total := u.bound * float64(balancers); math.Abs(total-boundMost) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", balancers, total, boundMost)
+			t.Errorf("%d balancers: got a total limit of %v, want %v", balancers, total, boundMost)
 		}
 	}
 }
--- a/discovery_test.go
+++ b/discovery_test.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// toldAfter is when a change counts as told at the latest, counted from when discovery has it and can be reached. It
-// holds whatever else is allowed after a failed, refused or given-up call.
+// wantUpdateWithin is the time within which every balancer must have received a change, from the moment at
+// which discovery has it and is reachable. It also holds after failed, refused or abandoned calls.
 const wantUpdateWithin = 6 * time.Second
 
-// fleetClock runs what happens to a whole fleet, in order, on a clock of its own.
+// simClock is a simulated clock that runs scheduled events in the order of their times.
 type simClock struct {
 	now      time.Duration
 	events   simEvents
 	sequence int
 }
 
+// simEvent is a scheduled call of a function. Events with equal times run in the order of their scheduling.
 type simEvent struct {
 	at       time.Duration
 	sequence int
 	run      func()
 }
 
+// simEvents is a heap of events, the earliest first.
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
@@ -39,11 +41,13 @@
 	return x
 }
 
+// after schedules run after d, or at once if d is negative.
 func (c *simClock) after(d time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.events, simEvent{c.now + max(d, 0), c.sequence, run})
 }
 
+// runUntil runs the events up to a time and sets the clock to it.
 func (c *simClock) runUntil(end time.Duration) {
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := heap.Pop(&c.events).(simEvent)
@@ -53,31 +57,32 @@
 	c.now = end
 }
 
-// outage is how calls end while discovery can't be reached.
+// discoveryFailure tells how calls end while discovery is unreachable.
 type discoveryFailure uint8
 
 const (
 	noFailure   discoveryFailure = iota
 	callRefused                  // at once
-	callHangs                    // never: the caller gives up
-	callFails                    // with an error, after the time for which it lets calls wait
+	callHangs                    // no answer until the caller's timeout
+	callFails                    // with an error after simQueueTimeout
 )
 
 const (
-	simCallTimeout  = 3 * time.Second // a caller waits so long for a call that does not wait for news
-	simQueueTimeout = 2 * time.Second // discovery fails a call that has waited so long for its turn
-	simCallLatency  = 5 * ms          // until the caller hears of a call's end
+	simCallTimeout  = 3 * time.Second // after which a caller abandons a call
+	simQueueTimeout = 2 * time.Second // after which discovery fails a call that waits in its queue
+	simCallLatency  = 5 * ms          // until the caller learns that a call has ended
 )
 
-// turnRegistry is a discovery that serves calls in turn, each for the same time, also those that have failed meanwhile.
+// queuedDiscovery is a discovery that serves calls one after another. Calls that time out in the queue take
+// as much of its time as others.
 type queuedDiscovery struct {
 	*simClock
 	failure      discoveryFailure
 	callDuration time.Duration
-	idleAt       time.Duration
+	idleAt       time.Duration // end of the last call in the queue
 }
 
-// call ends by a list, or by a failure, told to ended.
+// call makes a call, and calls done at its end with true if it brought a list.
 func (d *queuedDiscovery) call(done func(ok bool)) {
 	switch d.failure {
 	case callRefused:
@@ -96,14 +101,14 @@
 	}
 }
 
-// follower is a balancer of which only its calls of discovery are carried out.
+// discoveryClient is the Host of a balancer that carries out only the calls of discovery.
 type discoveryClient struct {
 	recorder
 	discovery  *queuedDiscovery
 	b          *Balancer
-	call       int // the newest one: a new call ends the one before
+	call       int // number of the latest call, which replaces earlier ones
 	watching   bool
-	receivedAt time.Duration // the last list
+	receivedAt time.Duration // time of the latest list
 }
 
 func (c *discoveryClient) Watch(bool) {
@@ -123,12 +128,12 @@
 }
 
 func (c *discoveryClient) SetTimer(d time.Duration, token uint64) {
-	if token == watchToken { // nothing is served here: the rest of the housekeeping changes nothing
+	if token == watchToken { // no requests are sent, so ticks are not needed
 		c.discovery.after(d, func() { c.b.Timer(c.discovery.now, token) })
 	}
 }
 
-// lose ends an open watch.
+// loseWatch ends an open watch.
 func (c *discoveryClient) loseWatch() {
 	if c.watching {
 		c.watching = false
@@ -136,10 +141,11 @@
 	}
 }
 
-// newFollowers starts n balancers, a while apart, and waits until discovery has told all of them.
+// newDiscoveryClients starts n balancers and waits a minute, after which all must have a list.
 func newDiscoveryClients(t *testing.T, n int, s Settings, seed uint64) (*queuedDiscovery, []*discoveryClient) {
 	t.Helper()
-	// Each of the fleet can be served once in 2 s: less would not do for any spacing of the calls.
+	// Discovery can serve each balancer once within 2 s; if it were slower, no spacing of the calls would
+	// be in time.
 	discovery := &queuedDiscovery{simClock: &simClock{now: time.Hour}, callDuration: min(60*ms, 2*time.Second/time.Duration(n))}
 	var clients []*discoveryClient
 	for rank := range n {
@@ -155,20 +161,20 @@
 	discovery.runUntil(discovery.now + time.Minute)
 	for _, client := range clients {
 		if !client.watching {
-			t.Fatalf("balancer %d of %d has no list after a minute", client.b.s.Rank, n)
+			t.Fatalf("balancer %d of %d: got no list within a minute, want one", client.b.s.Rank, n)
 		}
 	}
 	return discovery, clients
 }
 
-// However calls have ended while discovery could not be reached, all balancers have its news 6 s after it can be: they
-// call again in time, and not so many at once that it fails them.
+// Guards against retries after an outage of discovery that come too late, or at the same time from so many
+// balancers that discovery fails them again.
 func TestListIsReceivedInTimeAfterDiscoveryOutage(t *testing.T) {
-	for name, failure := range map[string]discoveryFailure{"refused": callRefused, "given up": callHangs, "failed": callFails} {
+	for name, failure := range map[string]discoveryFailure{"refused": callRefused, "timed out": callHangs, "failed": callFails} {
 		for _, n := range []int{1, 3, 30, 300, 950} {
 			t.Run(fmt.Sprintf("%s/%d balancers", name, n), func(t *testing.T) {
 				intervals := []time.Duration{10 * time.Second, 4 * time.Second, 30 * time.Second}
-				if n >= 300 { // one is enough where many draw
+				if n >= 300 { // large fleets take long to simulate
 					intervals = intervals[:1]
 				}
 				for _, outageDuration := range []time.Duration{500 * ms, 2 * time.Second, 8 * time.Second, 21 * time.Second, time.Minute} {
@@ -179,7 +185,7 @@
 							lateClients, longest = lateClients+lateInRun, max(longest, longestInRun)
 						}
 						if lateClients > 0 {
-							t.Errorf("to ask within %v, %v without discovery: %d heard later than %v, the last after %v",
+							t.Errorf("discovery interval %v, outage of %v: got %d lists later than %v, the last after %v; want none",
 								interval, outageDuration, lateClients, wantUpdateWithin, longest)
 						}
 					}
@@ -189,7 +195,8 @@
 	}
 }
 
-// hearAfterOutage returns how many of a fleet heard of discovery too late after an outage, and how late the last was.
+// delayAfterOutage simulates an outage and returns how many balancers received a list too late after it,
+// and the longest delay of all.
 func delayAfterOutage(t *testing.T, n int, interval time.Duration, failure discoveryFailure, outageDuration time.Duration, seed uint64) (late int, longest time.Duration) {
 	t.Helper()
 	s := settings()
@@ -215,9 +222,9 @@
 	return late, longest
 }
 
-// What changed while a balancer was down counts as told 6 s after discovery had it, however short before that it is back. A
-// zone is back 5 s after its loss, which discovery notices 0.7 s later at the soonest; told then 1.7 s after the start,
-// with 2 s of grace. A third of the fleet starts at one moment.
+// Guards against first calls of discovery that come too late when a third of the fleet restarts at once.
+// The restart is 5 s after a loss that discovery notices after 0.7 s or later, so it must be known 1.7 s
+// after the restart; 2 s of drain grace are added.
 func TestRestartedBalancersReceiveListInTime(t *testing.T) {
 	const maxDelay = 3700 * ms
 	for _, n := range []int{30, 100, 300} {
@@ -247,7 +254,8 @@
 				}
 			}
 			if late > 0 {
-				t.Errorf("%d balancers, seed %d: %d of %d have no list %v after they started", n, seed, late, len(clients), maxDelay)
+				t.Errorf("%d balancers, seed %d: got %d of %d without a list %v after their start, want none",
+					n, seed, late, len(clients), maxDelay)
 			}
 		}
 	}
--- a/drain_test.go
+++ b/drain_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// release is a fleet during a release of its upstreams: discovery comes back from an outage, and some seconds later most
-// balancers are killed and start again with the list that they last held.
+// releaseSimulation simulates a release that drains upstreams in batches, soon after an outage of
+// discovery. Most balancers are killed during the release and restart with their last lists.
 type releaseSimulation struct {
 	*simClock
 	rng       *rand.Rand
@@ -16,31 +16,31 @@
 	settings  Settings
 	seed      uint64
 	nodes     []*releaseNode
-	late      []string // sends to an upstream after its drain counted as notified
+	late      []string // requests sent to draining upstreams too late
 }
 
 const (
 	releaseUpstreams         = 60
-	releaseBatchSize         = 9                                // upstreams that begin to drain at one moment
-	releaseDrainTime         = 7 * time.Second                  // from its draining until an upstream stops
-	releaseDrainGrace        = 500 * ms                         // for sends after a notification
-	releaseRequestRate       = 10.0                             // requests a second of a balancer
-	releaseRestartTime       = 1500 * ms                        // from its kill until a balancer is back
-	releaseWatchInterval     = 6 * ms                           // between the answers to two watches, for one change
-	releaseUpstreamLatency   = 50 * ms                          // of an upstream
+	releaseBatchSize         = 9               // upstreams that start to drain at the same time
+	releaseDrainTime         = 7 * time.Second // from the start of a drain until the upstream stops
+	releaseDrainGrace        = 500 * ms        // for sends after wantUpdateWithin
+	releaseRequestRate       = 10.0            // requests per second of each balancer
+	releaseRestartTime       = 1500 * ms       // from the kill of a balancer until its restart
+	releaseWatchInterval     = 6 * ms          // between the answers to two watches for the same change
+	releaseUpstreamLatency   = 50 * ms
 	releaseOutageDuration    = 8 * time.Second                  // of discovery
-	releaseKillDelay         = 2 * time.Second                  // the outage's end
-	releaseDuration          = 14 * time.Second                 // from the outage's end
-	releaseFirstDrainDelay   = 500 * ms                         // the outage's end
-	releaseDrainInterval     = 1850 * ms                        // from one batch to the next
-	releaseQueueFailureDelay = simQueueTimeout + simCallLatency // until a caller hears that its call has waited too long
-	releaseFleetWarmup       = 20 * time.Second                 // until every balancer has its list and knows its upstreams
-	releaseCallDuration      = 60 * time.Millisecond            // of discovery for a call
-	releaseKilledOfTen       = 7                                // balancers in ten that are killed
+	releaseKillDelay         = 2 * time.Second                  // from the end of the outage
+	releaseDuration          = 14 * time.Second                 // from the end of the outage
+	releaseFirstDrainDelay   = 500 * ms                         // from the end of the outage
+	releaseDrainInterval     = 1850 * ms                        // between batches
+	releaseQueueFailureDelay = simQueueTimeout + simCallLatency // until a caller learns that its call timed out in the queue
+	releaseFleetWarmup       = 20 * time.Second                 // until every balancer has a list and has learnt its upstreams
+	releaseCallDuration      = 60 * time.Millisecond            // time that discovery needs for a call
+	releaseKilledOfTen       = 7                                // balancers killed, out of ten
 )
 
-// revisionRegistry is a discovery with revisions of the list. New calls are served in turn, and those that have waited
-// too long cost as much; a watch that goes on is free.
+// revisionedDiscovery is a discovery that keeps revisions of the list. It serves new calls one after
+// another, and those that time out in the queue take as much of its time. Open watches take none.
 type revisionedDiscovery struct {
 	*simClock
 	down         bool
@@ -48,12 +48,12 @@
 	idleAt       time.Duration
 	revision     int
 	states       map[UpstreamID]State
-	changedIn    map[UpstreamID]int // revision of the latest change
-	drainAt      map[UpstreamID]time.Duration
-	watches      []*releaseNode // whose watch is open, in order of opening
+	changedIn    map[UpstreamID]int           // revision of the latest change
+	drainAt      map[UpstreamID]time.Duration // when the drain began
+	watches      []*releaseNode               // nodes with an open watch, in order of opening
 }
 
-// call serves a new call in its turn.
+// call queues a new call of a node.
 func (d *revisionedDiscovery) call(n *releaseNode, callID int) {
 	if d.down {
 		d.after(releaseQueueFailureDelay, func() { n.callFailed(callID) })
@@ -75,7 +75,7 @@
 	}
 }
 
-// change puts a state in force, and answers the open watches one after another.
+// setState changes the state of upstreams, and answers the open watches one after another.
 func (d *revisionedDiscovery) setState(state State, ids ...UpstreamID) {
 	d.revision++
 	for _, id := range ids {
@@ -94,7 +94,7 @@
 	}
 }
 
-// fail ends all watches and has calls fail until the end of the outage.
+// startOutage ends all watches and makes calls fail until down is reset.
 func (d *revisionedDiscovery) startOutage() {
 	d.down = true
 	for _, n := range d.watches {
@@ -103,17 +103,17 @@
 	d.watches = nil
 }
 
-// releaseNode is one process of a balancer with its clients.
+// releaseNode is the Host of one balancer process, with its clients.
 type releaseNode struct {
 	recorder
 	*releaseSimulation
 	b          *Balancer
 	killed     bool
-	call       int                  // the newest call of discovery
-	revision   int                  // of the list in hand
-	states     map[UpstreamID]State // the list in hand
+	call       int                  // number of the latest call of discovery
+	revision   int                  // of the current list
+	states     map[UpstreamID]State // current states by upstream
 	attempts   map[RequestID]int
-	receivedAt time.Duration // the first list of this process; 0: none yet
+	receivedAt time.Duration // time of the first list of this process; 0: none yet
 }
 
 func (n *releaseNode) callFailed(call int) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// hear takes the changes since the list in hand.
+// receiveChanges applies the changes since the current revision.
 func (n *releaseNode) receiveChanges() {
 	var changes []Upstream
 	for _, u := range fleet(releaseUpstreams) {
@@ -154,8 +154,8 @@
 
 func (n *releaseNode) Log(string) {}
 
-// Send has an upstream that serves answer, one that drains turn the request away, and one that is gone refuse the
-// connection.
+// Send simulates the upstream: an active one responds, a draining one rejects the request, and a stopped
+// one refuses the connection.
 func (n *releaseNode) Send(id RequestID, up UpstreamID, _, _ time.Duration) {
 	attempt, sentAt := n.attempts[id], n.now
 	n.attempts[id]++
@@ -165,7 +165,7 @@
 		if n.now-drainAt > releaseDrainTime {
 			status = ConnectFailed
 		} else if late := n.now - drainAt - wantUpdateWithin; late > releaseDrainGrace {
-			n.late = append(n.late, fmt.Sprintf("balancer %d, upstream %d, %v late", n.b.s.Rank, up, late))
+			n.late = append(n.late, fmt.Sprintf("balancer %d sent to upstream %d %v too late", n.b.s.Rank, up, late))
 		}
 	}
 	n.after(latency, func() {
@@ -176,7 +176,7 @@
 	})
 }
 
-// start starts a balancer's process with a list.
+// startBalancer starts a balancer with a cached list, and its clients.
 func (r *releaseSimulation) startBalancer(rank, revision int, states map[UpstreamID]State) {
 	n := &releaseNode{releaseSimulation: r, attempts: map[RequestID]int{}, revision: revision, states: states}
 	r.settings.Rank = rank
@@ -206,28 +206,29 @@
 	sendRequest()
 }
 
-// play returns the sends that were late, and after how long the last balancer that was killed had a list.
+// run simulates the release. It returns the requests that were sent too late, and the longest time from the
+// restart until a restarted balancer had a list.
 func (r *releaseSimulation) run(balancers int, callDuration time.Duration) (late []string, longest time.Duration) {
-	registry := r.discovery
-	registry.callDuration = releaseCallDuration / 60 // all have their list before the release
+	discoveryService := r.discovery
+	discoveryService.callDuration = releaseCallDuration / 60 // fast enough for all balancers to have lists before the release
 	r.settings.Balancers, r.settings.PollDiscovery = balancers, true
 	r.nodes = make([]*releaseNode, balancers)
 	for rank := range balancers {
 		r.startBalancer(rank, 0, map[UpstreamID]State{})
 	}
 	r.runUntil(r.now + releaseFleetWarmup)
-	registry.callDuration = callDuration
-	registry.startOutage()
+	discoveryService.callDuration = callDuration
+	discoveryService.startOutage()
 	r.runUntil(r.now + releaseOutageDuration)
-	registry.down, registry.idleAt = false, r.now
+	discoveryService.down, discoveryService.idleAt = false, r.now
 	recoveredAt := r.now
 	for batch := range 4 {
 		var ids []UpstreamID
 		for i := range releaseBatchSize {
 			ids = append(ids, UpstreamID(batch*releaseBatchSize+i+1))
 		}
-		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval, func() { registry.setState(Draining, ids...) })
-		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval+releaseDrainTime, func() { registry.setState(Removed, ids...) })
+		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval, func() { discoveryService.setState(Draining, ids...) })
+		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval+releaseDrainTime, func() { discoveryService.setState(Removed, ids...) })
 	}
 	r.runUntil(recoveredAt + releaseKillDelay)
 	var killed []*releaseNode
@@ -253,6 +254,7 @@
 	return r.late, longest
 }
 
+// newReleaseSimulation returns a simulation without balancers.
 func newReleaseSimulation(seed uint64) *releaseSimulation {
 	clock := &simClock{now: time.Hour}
 	s := settings()
@@ -262,30 +264,30 @@
 			drainAt: map[UpstreamID]time.Duration{}}}
 }
 
-// Callers saw requests go to upstreams that had been announced as draining 6.5 s and more before. It takes an outage of
-// discovery, a release of upstreams right behind it, and a restart of most balancers into that: a call of each balancer
-// then costs discovery 4 to 6 s in all, so some have no list in time. The logs of each call and send showed that every
-// late send was turned away, by an upstream that had turned away 8 to 13 requests of the same balancer in a row.
+// Guards against requests to upstreams that began to drain more than 6.5 s before. Restarted balancers may
+// get their lists late, since discovery needs several seconds to serve all of them, and must stop sending
+// to upstreams that reject requests.
 func TestRestartedBalancersStopSendingToDrainingUpstreams(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		each      time.Duration
+		balancers    int
+		callDuration time.Duration
 	}{{60, 60 * ms}, {60, 90 * ms}, {100, 60 * ms}, {300, 17 * ms}} {
-		t.Run(fmt.Sprintf("%d balancers, %v a call", c.balancers, c.each), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d balancers, %v per call", c.balancers, c.callDuration), func(t *testing.T) {
 			for seed := range uint64(4) {
-				late, longest := newReleaseSimulation(seed).run(c.balancers, c.each)
+				late, longest := newReleaseSimulation(seed).run(c.balancers, c.callDuration)
 				if longest > wantUpdateWithin {
-					t.Errorf("seed %d: a restarted balancer had no list for %v", seed, longest)
+					t.Errorf("seed %d: got a restarted balancer without a list for %v, want a list sooner", seed, longest)
 				}
 				if len(late) > 0 {
-					t.Errorf("seed %d: %d late sends, the first: %s", seed, len(late), late[0])
+					t.Errorf("seed %d: got %d requests sent too late, want none; first: %s", seed, len(late), late[0])
 				}
 			}
 		})
 	}
 }
 
-// An upstream that turns all away is left out while the list is in doubt, and no longer; where all do, all are used.
+// Guards against requests to an upstream that rejects all of them while the list is unconfirmed. With a
+// confirmed list, or if all upstreams reject requests, the upstream must stay in use.
 func TestRejectingUpstreamIsExcludedWhileListIsUnconfirmed(t *testing.T) {
 	countSends := func(t *testing.T, unconfirmed bool, rejecting int) (sent map[UpstreamID]int) {
 		h, sent := &recorder{}, map[UpstreamID]int{}
@@ -323,12 +325,12 @@
 		return sent
 	}
 	if sent := countSends(t, true, 1); sent[1] > turnedAwayLimit {
-		t.Errorf("in doubt: %d sent to the one that turns all away", sent[1])
+		t.Errorf("unconfirmed list: got %d requests sent to the rejecting upstream, want few", sent[1])
 	}
 	if sent := countSends(t, false, 1); sent[1] <= turnedAwayLimit {
-		t.Errorf("list heard: %d sent to the one that turns all away", sent[1])
+		t.Errorf("confirmed list: got %d requests sent to the rejecting upstream, want more", sent[1])
 	}
 	if sent := countSends(t, true, 4); sent[1] <= turnedAwayLimit {
-		t.Errorf("in doubt, all turn all away: %d sent to the first", sent[1])
+		t.Errorf("unconfirmed list, all upstreams reject: got %d requests sent to the first, want more", sent[1])
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -7,14 +7,14 @@
 	"garnettide"
 )
 
-// proxy carries out what the balancer decides; the embedded Host stands for the actions not shown.
+// proxy carries out the actions of a Balancer. The embedded Host stands for the methods that are not shown.
 type proxy struct{ garnettide.Host }
 
 func (proxy) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, _ time.Duration) {
 	fmt.Printf("request %d goes to upstream %d\n", id, up)
 }
 
-func (proxy) SetTimer(after time.Duration, token uint64) {} // call b.Timer(now, token) when it is due
+func (proxy) SetTimer(after time.Duration, token uint64) {} // calls b.Timer(now, token) after the delay
 
 func Example() {
 	settings := garnettide.Settings{
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// recorder is a Host that writes down what it is asked to do.
+// recorder is a Host that records each action as a line of text and passes it to onAction, if that is set.
 type recorder struct {
 	lines    []string
 	onAction func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
 }
 
-func (h *recorder) record(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
-	h.lines = append(h.lines, fmt.Sprintf("%s id=%d up=%d d=%v n=%d", kind, id, up, d, n))
+func (h *recorder) record(kind string, id RequestID, up UpstreamID, duration time.Duration, number uint64) {
+	h.lines = append(h.lines, fmt.Sprintf("%s id=%d up=%d d=%v n=%d", kind, id, up, duration, number))
 	if h.onAction != nil {
-		h.onAction(kind, id, up, d, n)
+		h.onAction(kind, id, up, duration, number)
 	}
 }
 
@@ -32,7 +32,7 @@
 func (h *recorder) SetTimer(d time.Duration, n uint64)   { h.record("timer", 0, 0, d, n) }
 func (h *recorder) Log(text string)                      { h.record("log: "+text, 0, 0, 0, 0) }
 
-// count tells how many recorded lines begin with prefix.
+// count returns the number of recorded lines that begin with prefix.
 func (h *recorder) count(prefix string) int {
 	n := 0
 	for _, l := range h.lines {
@@ -45,7 +45,7 @@
 
 const ms = time.Millisecond
 
-// settings returns valid settings with one class of each repeat kind.
+// settings returns valid settings with one class of each Idempotency.
 func settings() Settings {
 	return Settings{
 		Zone: "near", Balancers: 2, OverQuotaWorth: 0.1, WorthByWork: true,
@@ -65,7 +65,7 @@
 	}
 }
 
-// fleet returns n active upstreams, long started, in two zones and three cells.
+// fleet returns n warm, active upstreams in two zones and three cells.
 func fleet(n int) []Upstream {
 	list := make([]Upstream, n)
 	for i := range list {
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -9,61 +9,66 @@
 	"time"
 )
 
-// checker follows a Balancer's actions and holds them against the text of the rules. It shares
-// nothing with the module.
+// ruleChecker plays the owner of a Balancer with random events, and checks each action against the rules on
+// final answers, duplicates, draining and cold upstreams. It doesn't use the state of the Balancer.
 type ruleChecker struct {
 	t             *testing.T
 	s             Settings
 	now           time.Duration
 	requests      map[RequestID]*observedRequest
-	inFlight      []*observedAttempt // attempts out, in order of sending
+	inFlight      []*observedAttempt // in order of sending
 	timers        []pendingTimer
 	list          map[UpstreamID]Upstream
 	leavingSince  map[UpstreamID]time.Duration
-	inMaintenance map[UpstreamID]bool // in maintenance
+	inMaintenance map[UpstreamID]bool
 	violations    []string
-	maxSends      int                            // sends that a warm upstream has had in a cold-start window
-	recentSends   map[UpstreamID][]time.Duration // sends of the last cold-start window
+	maxSends      int                            // most sends to one warm upstream within OverloadWindow
+	recentSends   map[UpstreamID][]time.Duration // times of sends within the last OverloadWindow
 }
 
+// observedRequest is a request as the checker knows it.
 type observedRequest struct {
 	id           RequestID
 	class        Class
 	deadline     time.Duration
 	attempts     []*observedAttempt
 	finalAnswers int
-	endedAt      time.Duration // when the end was known, 0: open
+	endedAt      time.Duration // when it was answered or its client left; 0: open
 }
 
+// observedAttempt is an attempt as the checker knows it.
 type observedAttempt struct {
 	request *observedRequest
-	number  int
+	number  int // index among the request's attempts
 	up      Upstream
-	at, end time.Duration
-	status  Status
+	at, end time.Duration // of its send and its planned end
+	status  Status        // at the planned end
 	ended   bool
 }
 
+// pendingTimer is a timer that the Balancer has set.
 type pendingTimer struct {
 	at    time.Duration
 	token uint64
 }
 
+// violation records a broken rule.
 func (c *ruleChecker) violation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%v: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// ran tells whether an attempt may have run or may still run.
+// mayHaveRun reports whether an attempt may have been executed or still may be.
 func (x *observedAttempt) mayHaveRun() bool {
 	return !x.ended || !slices.Contains([]Status{Rejected, ConnectFailed, NotSent}, x.status)
 }
 
-func (c *ruleChecker) handleAction(kind string, id RequestID, up UpstreamID, d time.Duration, number uint64) {
+// handleAction checks an action of the Balancer and carries it out.
+func (c *ruleChecker) handleAction(kind string, id RequestID, up UpstreamID, duration time.Duration, number uint64) {
 	switch kind {
 	case "timer":
-		c.timers = append(c.timers, pendingTimer{c.now + max(d, ms), number})
+		c.timers = append(c.timers, pendingTimer{c.now + max(duration, ms), number})
 	case "send":
-		c.checkSend(c.requests[id], up, d)
+		c.checkSend(c.requests[id], up, duration)
 	case "refuse", "fail":
 		c.checkFinalAnswer(c.requests[id], kind == "refuse")
 	case "cancel":
@@ -75,22 +80,23 @@
 	}
 }
 
-func (c *ruleChecker) checkSend(request *observedRequest, up UpstreamID, d time.Duration) {
+// checkSend checks that a request may be sent to an upstream, and starts the attempt.
+func (c *ruleChecker) checkSend(request *observedRequest, up UpstreamID, timeout time.Duration) {
 	if request.finalAnswers > 0 || (request.endedAt > 0 && request.endedAt < c.now) {
-		c.violation("rule 1: request %d sent after its end", request.id)
+		c.violation("final answer: request %d sent after its end", request.id)
 	}
 	if c.now > request.deadline {
-		c.violation("rule 1: request %d sent after its deadline", request.id)
+		c.violation("deadline: request %d sent after its deadline", request.id)
 	}
 	u, ok := c.list[up]
 	if !ok {
-		c.violation("upstream %d was never listed", up)
+		c.violation("discovery: upstream %d was never listed", up)
 	}
 	if c.inMaintenance[up] {
-		c.violation("maintenance: request %d sent to %d", request.id, up)
+		c.violation("maintenance: request %d sent to upstream %d", request.id, up)
 	}
 	if at, gone := c.leavingSince[up]; gone && c.now > at+c.s.Requirements.DrainGrace {
-		c.violation("rule 3: request %d sent to %d, leaving since %v", request.id, up, at)
+		c.violation("draining: request %d sent to upstream %d, draining or removed since %v", request.id, up, at)
 	}
 	c.checkColdSend(u)
 	inFlightAttempts := 0
@@ -103,30 +109,31 @@
 		}
 		switch {
 		case request.class.Idempotency == NonIdempotent:
-			c.violation("rule 2: unsafe request %d sent again", request.id)
+			c.violation("duplicates: non-idempotent request %d sent again", request.id)
 		case request.class.Idempotency == IdempotentByKey && c.now > x.at+request.class.DedupWindow:
-			c.violation("rule 2: keyed request %d sent again after its memory", request.id)
+			c.violation("duplicates: request %d with idempotency key sent again after DedupWindow", request.id)
 		case request.class.Idempotency == IdempotentByKey && ((request.class.DedupScope == DedupZone && x.up.Zone != u.Zone) || (request.class.DedupScope == DedupCell && x.up.Cell != u.Cell)):
-			c.violation("rule 2: keyed request %d sent outside its group", request.id)
+			c.violation("duplicates: request %d with idempotency key sent outside its DedupScope", request.id)
 		}
 	}
 	if inFlightAttempts > 0 && !c.s.Limits.Hedging {
-		c.violation("rule 2: request %d has two attempts out", request.id)
+		c.violation("duplicates: request %d has two attempts in flight without hedging", request.id)
 	}
 	if len(request.attempts) >= c.s.Limits.MaxAttempts {
-		c.violation("request %d has too many attempts", request.id)
+		c.violation("attempts: request %d has more than MaxAttempts", request.id)
 	}
 	x := &observedAttempt{request: request, number: len(request.attempts), up: u, at: c.now, end: request.deadline, status: Timeout}
-	if d > 0 {
-		x.end = min(request.deadline, c.now+d)
+	if timeout > 0 {
+		x.end = min(request.deadline, c.now+timeout)
 	}
 	request.attempts = append(request.attempts, x)
 	c.inFlight = append(c.inFlight, x)
 }
 
-// cold holds a send against rule 4: within any window a fresh upstream gets no more than the multiple of what it
-// can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
-// even share of drive's traffic: 133 requests a second, over two balancers and five upstreams.
+// checkColdSend checks that a cold upstream gets no more than OverloadFactor times its capacity in any
+// OverloadWindow. The capacity of a warm one is taken as the most that any was sent in such a window, and
+// at least this balancer's even share of the traffic of runRandomEvents: 133 requests per second over two
+// balancers and five upstreams.
 func (c *ruleChecker) checkColdSend(u Upstream) {
 	age, window := c.now-u.StartedAt, c.s.Requirements.OverloadWindow
 	c.recentSends[u.ID] = append(slices.DeleteFunc(c.recentSends[u.ID], func(at time.Duration) bool {
@@ -139,27 +146,29 @@
 	}
 	capacity := c.s.Requirements.ColdCapacity + (1-c.s.Requirements.ColdCapacity)*float64(age)/float64(c.s.Requirements.WarmupTime)
 	if maxSends := c.s.Requirements.OverloadFactor * capacity * max(float64(c.maxSends), 133.0/5/2*window.Seconds()); float64(n) > maxSends+3 {
-		c.violation("rule 4: upstream %d, started %v ago, was sent %d, %.1f fit", u.ID, age, n, maxSends)
+		c.violation("slow start: upstream %d, started %v ago: got %d requests, want at most %.1f", u.ID, age, n, maxSends)
 	}
 }
 
+// checkFinalAnswer checks that a request may be refused or failed.
 func (c *ruleChecker) checkFinalAnswer(r *observedRequest, refused bool) {
 	r.finalAnswers++
 	if r.finalAnswers > 1 || (r.endedAt > 0 && r.endedAt < c.now) {
-		c.violation("rule 1: request %d answered twice", r.id)
+		c.violation("final answer: request %d answered twice", r.id)
 	}
 	if c.now > r.deadline+c.s.Requirements.AnswerSlack {
-		c.violation("rule 1: request %d answered %v late", r.id, c.now-r.deadline)
+		c.violation("final answer: request %d answered %v after its deadline", r.id, c.now-r.deadline)
 	}
 	for _, x := range r.attempts {
 		repeatable := r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAll)
 		if refused && x.mayHaveRun() && !repeatable {
-			c.violation("rule 2: request %d refused though it may have run", r.id)
+			c.violation("duplicates: request %d refused although it may have been executed", r.id)
 		}
 	}
 }
 
-// drive feeds random legal events for a while and returns the rules broken.
+// runRandomEvents passes 20 s of random valid events to a new Balancer, and returns the checker with the
+// violations that it found and the recorded actions.
 func runRandomEvents(t *testing.T, s Settings, seed uint64, origin time.Duration) (*ruleChecker, *recorder) {
 	t.Helper()
 	rng, maintenanceRNG := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
@@ -181,7 +190,7 @@
 		if rng.IntN(60) == 0 {
 			c.changeList(b, rng)
 		}
-		if maintenanceRNG.IntN(200) == 0 { // also of ids that no list names now
+		if maintenanceRNG.IntN(200) == 0 { // also of upstreams that are not listed
 			c.setMaintenance(b, UpstreamID(1+maintenanceRNG.IntN(9)), maintenanceRNG.IntN(2) == 0)
 		}
 		c.fireTimers(b)
@@ -190,9 +199,10 @@
 	return c, h
 }
 
+// sendRequest makes a random request, whose client may disconnect at once.
 func (c *ruleChecker) sendRequest(b *Balancer, rng *rand.Rand, id RequestID) {
 	classSettings := c.s.Classes[rng.IntN(len(c.s.Classes))]
-	budget := classSettings.Deadline // a first try; the others are later ones, or of impatient clients
+	budget := classSettings.Deadline // first try; other budgets stand for later tries
 	if rng.IntN(2) == 0 {
 		budget = time.Duration(1+rng.Int64N(int64(classSettings.Deadline/ms))) * ms
 	}
@@ -207,13 +217,13 @@
 		q.Key, q.HasKey = uint64(rng.IntN(20)), true
 	}
 	b.Request(c.now, q)
-	if r.finalAnswers == 0 && rng.IntN(50) == 0 { // an impatient client
+	if r.finalAnswers == 0 && rng.IntN(50) == 0 { // the client disconnects
 		r.endedAt = c.now
 		b.ClientGone(c.now, id)
 	}
 }
 
-// finishSome ends attempts that are due, and some at random with any status.
+// finishAttempts ends the attempts that are due, and some others at random.
 func (c *ruleChecker) finishAttempts(b *Balancer, rng *rand.Rand) {
 	for _, x := range slices.Clone(c.inFlight) {
 		if x.end > c.now && rng.IntN(12) > 0 {
@@ -236,12 +246,13 @@
 		}
 		o := Outcome{ID: request.id, Upstream: x.up.ID, Attempt: x.number, Latency: c.now - x.at, Status: x.status, RequestDone: done, Load: load}
 		b.Outcome(c.now, o)
-		if rng.IntN(20) == 0 { // told twice, which must be passed over
+		if rng.IntN(20) == 0 { // a duplicate, which must be ignored
 			b.Outcome(c.now, o)
 		}
 	}
 }
 
+// sendList passes a list to the Balancer.
 func (c *ruleChecker) sendList(b *Balancer, mode ListMode, list []Upstream) {
 	for _, u := range list {
 		c.list[u.ID] = u
@@ -260,6 +271,7 @@
 	b.Members(c.now, mode, list)
 }
 
+// changeList passes a random list, a failure of discovery or a change of one upstream.
 func (c *ruleChecker) changeList(b *Balancer, rng *rand.Rand) {
 	list := fleet(8)
 	switch rng.IntN(6) {
@@ -280,7 +292,8 @@
 	}
 }
 
-// maintain calls an upstream out or back. What was off is restarted before it comes back, whether lists tell or not.
+// setMaintenance starts or ends the maintenance of an upstream. The upstream counts as restarted when its
+// maintenance ends, even if no list says so.
 func (c *ruleChecker) setMaintenance(b *Balancer, id UpstreamID, out bool) {
 	if u, ok := c.list[id]; ok && c.inMaintenance[id] && !out {
 		u.StartedAt = c.now
@@ -294,6 +307,7 @@
 	b.SetMaintenance(c.now, id, out)
 }
 
+// fireTimers passes expired timers to the Balancer.
 func (c *ruleChecker) fireTimers(b *Balancer) {
 	due := c.timers
 	c.timers = nil
@@ -306,17 +320,17 @@
 	}
 }
 
-// overdue finds requests that have had no final answer in time.
+// checkUnanswered reports requests without a final answer in time.
 func (c *ruleChecker) checkUnanswered() {
 	for id, r := range c.requests {
 		if r.finalAnswers == 0 && r.endedAt == 0 && c.now > r.deadline+c.s.Requirements.AnswerSlack {
-			c.violation("rule 1: request %d got no final answer", id)
+			c.violation("final answer: request %d got none in time", id)
 			r.finalAnswers = 1
 		}
 	}
 }
 
-// variants are settings that ask the rules differently.
+// settingsVariants returns settings that lead to different decisions under the same rules.
 func settingsVariants() map[string]Settings {
 	dedupAll, dedupCell, hedging, polling := settings(), settings(), settings(), settings()
 	dedupAll.Classes[1].DedupScope = DedupAll
@@ -325,9 +339,11 @@
 	polling.PollDiscovery, polling.Reports, polling.WorthByWork = true, ReportInProbes, false
 	manyBalancers := settings()
 	manyBalancers.Balancers, manyBalancers.Rank, manyBalancers.Limits.Hedging, manyBalancers.Weights = 5, 4, true, WeightLoadAdjusted
-	return map[string]Settings{"zone": settings(), "all": dedupAll, "cell": dedupCell, "copies": hedging, "asked": polling, "many": manyBalancers}
+	return map[string]Settings{"dedup zone": settings(), "dedup all": dedupAll, "dedup cell": dedupCell, "hedging": hedging,
+		"polling": polling, "many balancers": manyBalancers}
 }
 
+// Guards against decisions that break a rule in some unforeseen sequence of events.
 func TestRulesHoldOnRandomEvents(t *testing.T) {
 	for name, s := range settingsVariants() {
 		const seeds = 12
@@ -335,18 +351,21 @@
 		for seed := range uint64(seeds) {
 			c, h := runRandomEvents(t, s, seed, time.Duration(seed)*time.Hour)
 			if len(c.violations) > 0 {
-				t.Errorf("%s, seed %d: %d broken, first: %s", name, seed, len(c.violations), c.violations[0])
+				t.Errorf("%s, seed %d: got %d violations, want none; first: %s",
+					name, seed, len(c.violations), c.violations[0])
 			}
 			if sends += h.count("send"); h.count("refuse") == 0 || h.count("fail") == 0 {
-				t.Errorf("%s, seed %d: the events asked too little", name, seed)
+				t.Errorf("%s, seed %d: got no refusal or no failure, want both so that the rules are tested", name, seed)
 			}
 		}
-		if sends < 300*seeds { // of one seed they depend much on chance
-			t.Errorf("%s: the events asked too little: %d sends", name, sends)
+		if sends < 300*seeds { // summed over the seeds, since single ones vary
+			t.Errorf("%s: got only %d sends, too few to test the rules", name, sends)
 		}
 	}
 }
 
+// Guards against decisions that depend on names, on the origin of the clock or on anything but events and
+// seed.
 func TestSameEventsProduceSameActions(t *testing.T) {
 	renamed := settings()
 	for i, name := range []string{"x", "y", "z"} {
@@ -364,15 +383,15 @@
 		{"classes, tenants and the zone renamed", renamed, 10 * time.Hour},
 	} {
 		if _, got := runRandomEvents(t, c.s, 7, c.origin); !slices.Equal(got.lines, want.lines) {
-			t.Errorf("%s: other actions", c.name)
+			t.Errorf("%s: got actions that differ from the first run", c.name)
 		}
 	}
 	if _, other := runRandomEvents(t, settings(), 8, 10*time.Hour); slices.Equal(other.lines, want.lines) {
-		t.Error("another seed gave the same actions, so the comparison shows nothing")
+		t.Error("got the same actions with another seed, want different ones")
 	}
 }
 
-// Instances share nothing, not even in one process: one fed in between leaves the other as it was.
+// Guards against state that is shared by Balancers of the same process.
 func TestInstancesAreIndependent(t *testing.T) {
 	feed := func(b *Balancer, i int) {
 		now := time.Hour + time.Duration(i)*20*ms
@@ -390,10 +409,11 @@
 		feed(one, i)
 	}
 	if !slices.Equal(lines.lines, wantLines.lines) {
-		t.Error("an instance acted otherwise beside another")
+		t.Error("got different actions from a balancer while another one was in use")
 	}
 }
 
+// Guards against upstreams and requests that are kept after they have gone.
 func TestStateStaysBounded(t *testing.T) {
 	c, _ := runRandomEvents(t, settings(), 3, 0)
 	b, err := New(settings(), 3, c.now, &recorder{})
@@ -421,6 +441,7 @@
 	}
 	b.Timer(now+2*time.Second, tickToken)
 	if len(b.requests)+len(b.held) > 0 || len(b.ups) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.held), len(b.ups))
+		t.Errorf("got %d open requests, %d queued requests, %d upstreams; want 0, 0, 4",
+			len(b.requests), len(b.held), len(b.ups))
 	}
 }
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// plan returns the plan of settings that change has changed.
+// plan returns the plan for a copy of s that has been modified by change.
 func plan(t testing.TB, s Settings, change func(*Settings)) *Plan {
 	t.Helper()
 	s.Classes, s.Tenants = slices.Clone(s.Classes), slices.Clone(s.Tenants)
@@ -19,7 +19,7 @@
 	return p
 }
 
-// reconfigure puts settings in force that change has changed.
+// reconfigure applies a copy of s that has been modified by change, and returns the difference.
 func reconfigure(t testing.TB, b *Balancer, now time.Duration, s Settings, change func(*Settings)) PlanDiff {
 	t.Helper()
 	p := plan(t, s, change)
@@ -28,7 +28,7 @@
 	return c
 }
 
-// many returns settings of many classes and tenants.
+// largeSettings returns settings with the given number of additional classes and tenants.
 func largeSettings(classes, tenants int) Settings {
 	s := settings()
 	for i := range classes {
@@ -40,13 +40,13 @@
 	return s
 }
 
-// A class and a tenant that come with new settings are served at once, without a restart.
+// Guards against classes and tenants that are added at run time but not served.
 func TestAddedClassAndTenantAreServed(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	q := Request{ID: 1, Class: "new", Tenant: "newcomer", Budget: time.Second}
 	b.Request(time.Hour, q)
 	if h.count("refuse id=1") != 1 {
-		t.Errorf("before: %v", h.lines)
+		t.Errorf("before the change: got actions %v, want request 1 refused", h.lines)
 	}
 	c := reconfigure(t, b, time.Hour, settings(), func(s *Settings) {
 		s.Classes = append(s.Classes, Class{Name: "new", LatencyTarget: 300 * ms, Deadline: time.Second, Worth: 1})
@@ -55,42 +55,44 @@
 	})
 	q.ID = 2
 	if b.Request(time.Hour, q); h.count("send id=2") != 1 {
-		t.Errorf("after: %v", h.lines)
+		t.Errorf("after the change: got actions %v, want request 2 sent", h.lines)
 	}
 	if c.Classes != (DiffCounts{Added: 1}) || c.Tenants != (DiffCounts{Added: 1, Changed: 1}) {
-		t.Errorf("counted as %+v, %+v", c.Classes, c.Tenants)
+		t.Errorf("got class counts %+v, tenant counts %+v; want 1 class added, 1 tenant added and 1 changed",
+			c.Classes, c.Tenants)
 	}
 }
 
-// A class or tenant that is gone takes nothing new. What was taken goes on by its own terms: it is sent again where its
-// class may run twice, and its work still counts.
+// Guards against new requests of a removed class or tenant being served, and against requests accepted
+// before the removal being dropped or no longer retried.
 func TestRemovedClassAndTenantAreRefused(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Tenant: "small", Budget: time.Second})
 	c := reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Classes, s.Tenants = s.Classes[1:], s.Tenants[:1] })
 	if c.Classes != (DiffCounts{Removed: 1}) || c.Tenants != (DiffCounts{Removed: 1}) {
-		t.Errorf("counted as %+v, %+v", c.Classes, c.Tenants)
+		t.Errorf("got class counts %+v, tenant counts %+v; want 1 removed each", c.Classes, c.Tenants)
 	}
 	b.Request(time.Hour, Request{ID: 2, Class: "read", Budget: time.Second})
 	b.Request(time.Hour, Request{ID: 3, Class: "write", Tenant: "small", Budget: time.Second})
 	b.Request(time.Hour, Request{ID: 4, Class: "write", Tenant: "big", Budget: time.Second})
 	if h.count("refuse id=2") != 1 || h.count("refuse id=3") != 1 || h.count("send id=4") != 1 {
-		t.Errorf("after: %v", h.lines)
+		t.Errorf("after the change: got actions %v, want requests 2 and 3 refused and 4 sent", h.lines)
 	}
 	first := b.requests[1].attempts[0].up.ID
 	b.Outcome(time.Hour+ms, Outcome{ID: 1, Upstream: first, Latency: ms, Status: Reset})
 	if h.count("send id=1") != 2 {
-		t.Errorf("the request in hand is not sent again: %v", h.lines)
+		t.Errorf("accepted request was not retried: got actions %v", h.lines)
 	}
 	second := b.requests[1].attempts[1].up.ID
 	b.Outcome(time.Hour+2*ms, Outcome{ID: 1, Upstream: second, Attempt: 1, Latency: ms, Status: OK, RequestDone: true})
 	if len(b.requests) != 1 || h.count("refuse id=1")+h.count("fail id=1") != 0 {
-		t.Errorf("%d requests are kept: %v", len(b.requests), h.lines)
+		t.Errorf("got %d open requests, want 1; actions %v, want no refusal or failure of request 1",
+			len(b.requests), h.lines)
 	}
 }
 
-// A request's repeats, window and deadline are those under which it was read, whatever its class has become since: also one
-// that is read before the change and heard after it.
+// Guards against changes of a class that apply to requests read before the change, also if the balancer
+// receives them after it.
 func TestRequestKeepsItsClassSettings(t *testing.T) {
 	for _, receivedAfter := range []bool{false, true} {
 		for _, c := range []struct {
@@ -98,10 +100,10 @@
 			change func(*Class)
 			sends  int
 		}{
-			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1}, // upstreams have no key to drop it by
+			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1}, // was read without an idempotency key
 			{"read", func(c *Class) { c.Idempotency = NonIdempotent }, 2},
-			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},           // 500 ms later, of a window of 400 ms
-			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2}, // it is given a second all the same
+			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},           // retry after 500 ms, old window of 400 ms
+			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2}, // keeps the old deadline of 1 s
 		} {
 			b, h := start(t, settings(), fleet(1))
 			q := Request{ID: 1, Class: c.class, Budget: time.Second, ClassSettings: b.plan.Class(c.class)}
@@ -119,19 +121,21 @@
 				b.Request(time.Hour, q)
 			}
 			if h.count("send id=1") != 1 {
-				t.Fatalf("%+v: not sent: %v", c, h.lines)
+				t.Fatalf("%+v: request was not sent: got actions %v", c, h.lines)
 			}
 			b.Outcome(time.Hour+500*ms, Outcome{ID: 1, Upstream: 1, Latency: 500 * ms, Status: Error})
 			b.ups[0].freeAt = 0
 			b.dispatch(time.Hour + 500*ms)
 			if n := h.count("send id=1"); n != c.sends {
-				t.Errorf("%s, heard after the change %v: %d sends, want %d: %v", c.class, receivedAfter, n, c.sends, h.lines)
+				t.Errorf("class %s, received after the change %v: got %d sends, want %d; actions %v",
+					c.class, receivedAfter, n, c.sends, h.lines)
 			}
 		}
 	}
 }
 
-// Bands, bounds, latencies, cold budgets and tenants' levels are kept, also of classes and tenants whose terms change.
+// Guards against the loss of learnt state in a reconfiguration, also of classes and tenants whose settings
+// change.
 func TestReconfigureKeepsLearntState(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	now := time.Hour
@@ -159,20 +163,20 @@
 		before := ups[i]
 		if u.mean != before.mean || u.dev != before.dev || u.bound != before.bound || u.lat != before.lat || u.spent != before.spent ||
 			u.factor != before.factor || u.due != before.due || u.readings != before.readings {
-			t.Errorf("upstream %d: %+v, was %+v", u.ID, u, before)
+			t.Errorf("upstream %d: got %+v after the change, want %+v", u.ID, u, before)
 		}
 	}
 	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.lat != lat || b.carry != carry ||
 		b.part != part || b.turn != turn {
-		t.Error("what was learnt of classes, tenants or the fleet has changed")
+		t.Error("learnt state of classes, tenants or the fleet was changed by the reconfiguration")
 	}
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || r.class.Worth != 7 || r.class.lat != statistics.lat {
-		t.Errorf("the new terms do not hold: %+v", r)
+		t.Errorf("got request %+v, want worth 7 and the learnt latency", r)
 	}
 }
 
-// Quotas, what traffic over them is worth, limits and the balancer's place in the fleet are those of the plan in force.
+// Guards against changed quotas, limits, balancer counts and ranks that do not take effect.
 func TestChangedSettingsTakeEffect(t *testing.T) {
 	b, h := start(t, settings(), fleet(60))
 	over := func() (n int) {
@@ -186,14 +190,14 @@
 	}
 	before := over()
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Tenants[1].Quota = 60 })
-	if after := over(); before <= after || after != 60-40 { // 30 a second and two deviations: 40.95
-		t.Errorf("of 60 at once %d were over a quota of 20, %d are over one of 60", before, after)
+	if after := over(); before <= after || after != 60-40 { // 60/2 + 2*sqrt(60/2) = 40.95 are within the quota
+		t.Errorf("got %d of 60 requests over a quota of 20, and %d over a quota of 60; want more, and 20", before, after)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Limits.MaxAttempts = 1 })
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: time.Second})
 	b.Outcome(time.Hour+ms, Outcome{ID: 1, Upstream: b.requests[1].attempts[0].up.ID, Latency: ms, Status: Error})
 	if h.count("send id=1") != 1 || h.count("refuse id=1") != 1 {
-		t.Errorf("one attempt is allowed: %v", h.lines)
+		t.Errorf("MaxAttempts 1: got actions %v, want one send and a refusal", h.lines)
 	}
 	members := func() (n int) {
 		for _, u := range b.ups {
@@ -204,15 +208,16 @@
 		return n
 	}
 	if n := members(); n != 60 {
-		t.Fatalf("of two balancers each uses %d of 60", n)
+		t.Fatalf("2 balancers: got a subset of %d of 60 upstreams, want 60", n)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Balancers, s.Rank = 80, 7 })
 	if n := members(); n > 10 {
-		t.Errorf("of 80 balancers each uses %d of 60", n)
+		t.Errorf("80 balancers: got a subset of %d of 60 upstreams, want at most 10", n)
 	}
 }
 
-// What was learnt of classes and tenants that are gone is forgotten, some names a tick. What is back before its turn keeps all.
+// Guards against state of removed classes and tenants that is never freed, or freed all at once, and
+// against the loss of state of names that return before they are forgotten.
 func TestRemovedNamesAreForgottenInBatches(t *testing.T) {
 	s := largeSettings(400, 2000)
 	b, _ := start(t, s, fleet(4))
@@ -232,23 +237,25 @@
 	}
 	tick()
 	if gone := total - retained(); gone != forgetMost || len(b.classes) == 3 {
-		t.Errorf("%d names are forgotten in a tick, want %d; %d classes are left", gone, forgetMost, len(b.classes))
+		t.Errorf("got %d names forgotten in a tick, want %d; %d classes left, want more than 3",
+			gone, forgetMost, len(b.classes))
 	}
 	level, kept := *b.tenants["t0"], map[string]classStatistics{}
 	for name, h := range b.classes {
 		kept[name] = *h
 	}
-	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // all are back
+	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // restores all
 	restored := retained()
 	for range 20 {
 		tick()
 	}
 	if retained() != restored || *b.tenants["t0"] != level || len(b.gone) > 0 {
-		t.Errorf("%d names are known, %d were as they came back; %d changes left", retained(), restored, len(b.gone))
+		t.Errorf("got %d names, want the %d there were when all were restored; %d changes pending, want none",
+			retained(), restored, len(b.gone))
 	}
 	for name, before := range kept {
 		if h := b.classes[name]; h == nil || *h != before {
-			t.Errorf("class %s is back before it was forgotten: %+v, was %+v", name, h, before)
+			t.Errorf("class %s was restored before it was forgotten: got %+v, want %+v", name, h, before)
 		}
 	}
 	reconfigure(t, b, time.Hour, s, reduced)
@@ -256,11 +263,11 @@
 		tick()
 	}
 	if len(b.classes) != 3 || len(b.tenants) != 2 || len(b.gone) > 0 {
-		t.Errorf("%d classes and %d tenants are remembered of 3 and 2", len(b.classes), len(b.tenants))
+		t.Errorf("got state of %d classes and %d tenants, want 3 and 2", len(b.classes), len(b.tenants))
 	}
 }
 
-// The loop's part of a reload does not grow with what the settings hold: nothing is allocated, copied or gone through.
+// Guards against reconfigurations that allocate, or that take longer the more classes and tenants there are.
 func TestReconfigureTakesConstantTime(t *testing.T) {
 	s := largeSettings(17000, 72000)
 	b, h := start(t, s, fleet(4))
@@ -268,19 +275,20 @@
 	second := plan(t, s, func(s *Settings) { s.Tenants[500].Quota = 3 })
 	forward, backward := second.Since(first, func() {}), first.Since(second, func() {})
 	if forward.Tenants != (DiffCounts{Changed: 1}) || forward.Classes != (DiffCounts{}) {
-		t.Fatalf("counted as %+v", forward)
+		t.Fatalf("got difference %+v, want 1 changed tenant", forward)
 	}
 	n := len(h.lines)
 	if got := testing.AllocsPerRun(1000, func() {
 		b.Reconfigure(time.Hour, second, forward)
 		b.Reconfigure(time.Hour, first, backward)
 	}); got > 0 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("got %v allocations, want none", got)
 	}
 	if len(b.classes)+len(b.tenants)+len(b.gone) > 0 || len(h.lines) != n {
-		t.Errorf("the swap has touched %d classes, %d tenants, and asked for %v", len(b.classes), len(b.tenants), h.lines[n:])
+		t.Errorf("got state of %d classes, %d tenants, and actions %v; want none",
+			len(b.classes), len(b.tenants), h.lines[n:])
 	}
-	// One swap passes over nothing: a thousand take far less than one look at each name would, a thousand times.
+	// If a reconfiguration iterated over the tenants, 1,000 of them would take about 1,000 times scanTime.
 	begin := time.Now()
 	sum := 0
 	for name := range first.tenants {
@@ -292,11 +300,12 @@
 		b.Reconfigure(time.Hour, second, forward)
 	}
 	if swapTime := time.Since(begin); swapTime > 100*scanTime {
-		t.Errorf("1,000 swaps took %v, one pass over the tenants (%d) %v", swapTime, sum, scanTime)
+		t.Errorf("got %v for 1,000 reconfigurations, want at most 100 times an iteration over the tenants (sum %d): %v",
+			swapTime, sum, scanTime)
 	}
 }
 
-// The work of a plan grows as the classes do. It was a square: 473 ms for 17,000.
+// Guards against a NewPlan whose time grows with the square of the number of classes.
 func TestNewPlanTakesLinearTime(t *testing.T) {
 	fastest := func(classes int) time.Duration {
 		s, best := largeSettings(classes, 0), time.Hour
@@ -307,13 +316,14 @@
 			}
 			best = min(best, time.Since(begin))
 			if steps != len(s.Classes)+len(s.Tenants) {
-				t.Fatalf("%d steps for %d classes", steps, classes)
+				t.Fatalf("got %d calls of yield for %d classes, want one for each class and tenant", steps, classes)
 			}
 		}
 		return best
 	}
-	// 64 times as many: a square takes 4,096 times as long. The bound between is wide, since the larger one outgrows caches.
+	// 64 times as many classes would take 4,096 times as long if time were quadratic. The limit of 1,000
+	// allows for cache misses.
 	if small, large := fastest(250), fastest(16000); large > 1000*small {
-		t.Errorf("%v for 250 classes, %v for 16,000", small, large)
+		t.Errorf("got %v for 250 classes, %v for 16,000; want at most 1,000 times as long", small, large)
 	}
 }
--- a/requests_test.go
+++ b/requests_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// A refusal tells when to come back, where the settings allow it: later the more is held, and within the bound.
+// Guards against refusals that carry no Retry-After time although the settings permit it, one that is too
+// long, or one that is not permitted.
 func TestRefusalsCarryRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		s := settings()
@@ -21,25 +22,26 @@
 				retryAfters = append(retryAfters, d)
 			}
 		}
-		b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms}) // nobody to send it to
+		b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms}) // no upstreams
 		b.Members(time.Hour, ListFull, fleet(2))
 		for i := range RequestID(200) {
 			b.Request(time.Hour, Request{ID: 2 + i, Class: "write", Budget: time.Second})
 		}
-		b.Request(time.Hour, Request{ID: 900, Class: "write", Budget: 10 * ms}) // all turns are taken
+		b.Request(time.Hour, Request{ID: 900, Class: "write", Budget: 10 * ms}) // all slots are occupied
 		if len(retryAfters) != 2 {
-			t.Fatalf("%d refusals, want 2: %v", len(retryAfters), h.lines)
+			t.Fatalf("got %d refusals, want 2: %v", len(retryAfters), h.lines)
 		}
 		for i, d := range retryAfters {
 			if (d > 0) != allowed || d > s.Limits.MaxRetryAfter {
-				t.Errorf("allowed %v, refusal %d: come back in %v", allowed, i, d)
+				t.Errorf("RetryAfter permitted %v, refusal %d: got %v, want a time only if permitted, up to 400ms",
+					allowed, i, d)
 			}
 		}
 	}
 }
 
-// Held requests stand by worth, and the newest first among equals.
-func TestHeldRequestsAreOrdered(t *testing.T) {
+// Guards against queued requests in another order than by worth and, for equal worth, newest first.
+func TestQueuedRequestsAreOrdered(t *testing.T) {
 	s := settings()
 	s.WorthByWork = false
 	b, _ := start(t, s, nil)
@@ -58,12 +60,12 @@
 		return int(y.ID) - int(x.ID)
 	})
 	if len(want) != 60 || !slices.Equal(want, b.held) {
-		t.Errorf("%d held, out of order", len(b.held))
+		t.Errorf("got %d queued requests in the wrong order, want 60 by worth, then newest first", len(b.held))
 	}
 }
 
-// Thousands of upstreams come and go under ids that are ever new, with ever new requests and keys: what is kept returns
-// to its size.
+// Guards against state that grows as thousands of upstreams with new ids come and go, along with requests
+// and keys.
 func TestStateDoesNotGrowWithChurn(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	now := time.Hour
@@ -71,7 +73,7 @@
 		now += 400 * ms
 		list := fleet(4)
 		for j := range list {
-			list[j].ID = UpstreamID(i + j + 1) // the first goes, a new one comes
+			list[j].ID = UpstreamID(i + j + 1) // replaces the oldest upstream by a new one
 			list[j].StartedAt = now - time.Duration(4-j)*400*ms
 		}
 		b.Members(now, ListFull, list)
@@ -88,36 +90,37 @@
 	now += time.Minute
 	b.Timer(now, tickToken)
 	b.Timer(now+bandPeriod, tickToken)
-	for what, n := range map[string]int{"upstreams": len(b.byID), "their list": len(b.ups), "the subset": len(b.near)} {
+	for name, n := range map[string]int{"upstreams by ID": len(b.byID), "list of upstreams": len(b.ups), "subset": len(b.near)} {
 		if n != 4 {
-			t.Errorf("%s: %d, want 4", what, n)
+			t.Errorf("%s: got %d entries, want 4", name, n)
 		}
 	}
 	if len(b.requests) > 0 || len(b.held) > 0 || len(b.tenants) != 2 || len(b.logged) > 5 {
-		t.Errorf("left: %d requests, %d held, %d tenants, %d kinds of log line",
+		t.Errorf("got %d open requests, %d queued requests, %d tenants, %d kinds of log line; want 0, 0, 2, at most 5",
 			len(b.requests), len(b.held), len(b.tenants), len(b.logged))
 	}
 }
 
-// A bound of one and a half attempts counts as two: cut to one, upstreams stood at half their use while requests were
-// refused, since the way there and back leaves them without work.
+// Guards against a limit of 1.5 attempts that is rounded down to 1, which leaves upstreams idle during
+// network round trips.
 func TestConcurrencyLimitIsRounded(t *testing.T) {
-	b, h := start(t, settings(), fleet(2)) // of two balancers each has half of boundStart
+	b, h := start(t, settings(), fleet(2)) // each of two balancers has half of the initial limit
 	for i := range RequestID(10) {
 		b.Request(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
-	if n := h.count("send"); b.start != 1.5 || n != 4 {
-		t.Errorf("%d sent at a bound of %v for each of two, want 4", n, b.start)
+	if sends := h.count("send"); b.start != 1.5 || sends != 4 {
+		t.Errorf("got %d requests sent at limit %v for each of two upstreams, want 4 at 1.5", sends, b.start)
 	}
 }
 
-// A client that leaves, and an answer that another copy has given, stop no work at the upstream: the attempt keeps its
-// place until it ends, or the upstream is sent more than it can do.
+// Guards against a slot that is freed while the upstream still works: an attempt whose client has left, or
+// whose request another attempt has answered, occupies its slot until its outcome, or the upstream would
+// get more than it can serve.
 func TestAttemptOccupiesItsSlotAfterClientLeaves(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	u := b.ups[0]
 	var id RequestID
-	for h.count("send") == len(u.outs) { // until no turn is free
+	for h.count("send") == len(u.outs) { // until no slot is free
 		id++
 		if b.Request(time.Hour, Request{ID: id, Class: "read", Budget: time.Second}); len(b.held) > 0 {
 			break
@@ -127,15 +130,17 @@
 	b.ClientGone(time.Hour+ms, 1)
 	b.Timer(time.Hour+2*ms, tickToken)
 	if h.count("cancel") != 0 || len(u.outs) != limit || h.count("send") != limit {
-		t.Errorf("%d out and %d sent, of %d that fit; %d cancelled", len(u.outs), h.count("send"), limit, h.count("cancel"))
+		t.Errorf("got %d attempts in flight, %d sent; want the limit of %d; got %d cancelled, want none",
+			len(u.outs), h.count("send"), limit, h.count("cancel"))
 	}
 	b.Outcome(time.Hour+60*ms, Outcome{ID: 1, Upstream: u.ID, Latency: 60 * ms, Status: OK, RequestDone: true})
 	if h.count("send") != limit+1 || len(b.requests) != limit {
-		t.Errorf("%d sent and %d in the ledger, want %d and %d", h.count("send"), len(b.requests), limit+1, limit)
+		t.Errorf("got %d requests sent and %d open, want %d and %d", h.count("send"), len(b.requests), limit+1, limit)
 	}
 }
 
-// A tenant that asks for twice its quota is over it with half of its requests, however long that lasts.
+// Guards against a tenant that sends twice its quota for a long time being served more or less than its
+// quota.
 func TestTenantOverQuotaIsServedUpToQuota(t *testing.T) {
 	customer, within := &tenant{}, 0
 	for now := time.Duration(0); now < 60*time.Second; now += 10 * ms {
@@ -144,43 +149,43 @@
 		}
 	}
 	if within < 1495 || within > 1505 {
-		t.Errorf("%d of 3000 requests are within a quota of 1500", within)
+		t.Errorf("got %d of 3000 requests within the quota, want about 1500", within)
 	}
 	if later := 61 * time.Second; customer.over(later, 50) {
-		t.Error("over the quota a second after the last request")
+		t.Error("tenant is over its quota one second after the last request, want it within")
 	}
 }
 
-// Clients that are refused ask again, several times each: counted every time they used up their tenant's quota for
-// nothing, and its requests were worth a tenth from then on.
+// Guards against refused requests that count against their tenant's quota: clients retry them, and each try
+// would count.
 func TestRefusedRequestsUseNoQuota(t *testing.T) {
 	s := settings()
 	s.Tenants = []Tenant{{Name: "small", Quota: 20}}
-	b, h := start(t, s, nil) // nobody to send to
+	b, h := start(t, s, nil) // no upstreams
 	for i := range RequestID(200) {
 		b.Request(time.Hour, Request{ID: i + 1, Class: "write", Tenant: "small", Budget: 10 * ms})
 	}
 	if h.count("refuse") != 200 {
-		t.Fatalf("%d refused of 200", h.count("refuse"))
+		t.Fatalf("got %d refusals, want 200", h.count("refuse"))
 	}
 	b.Request(time.Hour, Request{ID: 900, Class: "write", Tenant: "small", Budget: time.Second})
 	if r := b.requests[900]; r == nil || r.over {
-		t.Error("over the quota, though nothing has been sent")
+		t.Error("request was not accepted or is over the quota, want it within since none was sent")
 	}
 }
 
-// A client gives its last try all of the time that is left, more than its first one had. Taken for the usual budget it
-// once made all first tries look late for good.
+// Guards against the budget of a last try being taken for the usual budget, which would make all first
+// tries look late. A last try gets all of the time that is left, which may be more than a first one gets.
 func TestLastTryDoesNotChangeUsualBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		budget time.Duration // of 1 s; the aim is 300 ms
+		budget time.Duration // left of 1 s; the latency target is 300 ms
 		sent   bool
 	}{
 		{"first try", 500 * ms, true},
-		{"last try, begun at once", 990 * ms, true},
-		{"last try past the aim", 650 * ms, false},
-		{"later try past the aim", 200 * ms, false},
+		{"last try, immediate", 990 * ms, true},
+		{"last try past the target", 650 * ms, false},
+		{"retry past the target", 200 * ms, false},
 	} {
 		b, h := start(t, settings(), fleet(4))
 		now, id := time.Hour, RequestID(0)
@@ -196,81 +201,84 @@
 		b.tightAt = now
 		b.Request(now, Request{ID: 100, Class: "write", Budget: c.budget})
 		if sent := h.count("send id=100") == 1; sent != c.sent {
-			t.Errorf("%s: sent %v, want %v", c.name, sent, c.sent)
+			t.Errorf("%s: got sent %v, want %v", c.name, sent, c.sent)
 		}
 	}
 }
 
-// A balancer whose peers are down, or have few clients, once kept to an even part of each server and of each quota, and
-// refused requests beside idle servers. What the servers report in all tells it how much is left for it.
+// Guards against a balancer that uses only an even share of upstreams and quotas although the other
+// balancers are down or have few clients. Its share follows from the request rates that upstreams report.
 func TestTrafficShareIsMeasured(t *testing.T) {
 	s := settings() // two balancers
 	s.Tenants = []Tenant{{Name: "small", Quota: 30}}
 	b, _ := start(t, s, fleet(4))
 	now := time.Hour
-	runPeriods := func(n int, others float64) {
+	runPeriods := func(n int, otherRate float64) {
 		for range n {
 			now += bandPeriod
 			for _, u := range b.ups {
-				u.answers, u.last.RequestRate = 20, 20+others
+				u.answers, u.last.RequestRate = 20, 20+otherRate
 			}
 			b.step(now)
 		}
 	}
-	even := b.start
+	evenLimit := b.start
 	for _, c := range []struct {
-		name   string
-		others float64
-		part   float64
-	}{{"alone", 0, 1}, {"two alike", 20, 0.5}, {"one with few clients", 60, 0.5}} {
-		runPeriods(40, c.others)
-		if math.Abs(b.start-2*c.part*even) > 0.01 || math.Abs(b.rate(30)-30*c.part) > 0.1 {
-			t.Errorf("%s: bounds from %v, quota %v; want %v, %v", c.name, b.start, b.rate(30), 2*c.part*even, 30*c.part)
+		name      string
+		otherRate float64
+		share     float64
+	}{{"only balancer", 0, 1}, {"equal traffic", 20, 0.5}, {"less traffic than the other", 60, 0.5}} {
+		runPeriods(40, c.otherRate)
+		if math.Abs(b.start-2*c.share*evenLimit) > 0.01 || math.Abs(b.rate(30)-30*c.share) > 0.1 {
+			t.Errorf("%s: got initial limit %v, quota %v; want %v, %v",
+				c.name, b.start, b.rate(30), 2*c.share*evenLimit, 30*c.share)
 		}
 	}
 	for _, u := range b.ups {
 		u.answers = 0
 	}
-	b.step(now + bandPeriod) // nothing was answered: as before
-	if math.Abs(b.start-even) > 0.01 {
-		t.Errorf("bounds from %v after a period without answers, want %v", b.start, even)
+	b.step(now + bandPeriod) // a period without responses changes nothing
+	if math.Abs(b.start-evenLimit) > 0.01 {
+		t.Errorf("got initial limit %v after a period without responses, want %v", b.start, evenLimit)
 	}
 }
 
-// Where single requests got lost on the way, each held its place until the deadline, and two of them made a server that
-// answered all others pass for silent: it was left idle for seconds while requests were refused.
+// Guards against lost requests that occupy their slots until the deadline, or make an upstream count as
+// silent although it responds to others.
 func TestLostAttemptIsHedgedAndFreesItsSlot(t *testing.T) {
-	for _, utilization := range []float64{0.2, 0.95} {
+	for _, utilisation := range []float64{0.2, 0.95} {
 		s := settings()
 		s.Limits.Hedging = true
 		b, h := start(t, s, fleet(2))
-		b.doubt = 0 // what was overdue before never came
+		b.doubt = 0 // overdue attempts were never answered before
 		now := time.Hour
 		for i := range 40 {
 			serve(t, b, now, RequestID(i+1))
 		}
 		b.Request(now, Request{ID: 100, Class: "read", Budget: time.Second})
 		u := b.requests[100].attempts[0].up
-		for i := range 12 { // later ones are answered, here and at the other
+		for i := range 12 { // later requests are answered by both upstreams
 			now += 40 * ms
 			id := RequestID(200 + i)
 			b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
-			load := Load{Fields: HasUtil, Util: utilization + float64(i)/1000}
+			load := Load{Fields: HasUtil, Util: utilisation + float64(i)/1000}
 			b.Outcome(now+30*ms, Outcome{ID: id, Upstream: b.requests[id].attempts[0].up.ID, Latency: 30 * ms, Status: OK, RequestDone: true, Load: load})
 		}
 		b.Timer(now, tickToken)
 		r := b.requests[100]
-		if lost := utilization < fullUse; r.attempts[0].lost != lost || (u.places() == 0) != lost || (r.out == 2) != lost || u.silent {
-			t.Errorf("use %v: lost %v, %d places, %d out, silent %v", utilization, r.attempts[0].lost, u.places(), r.out, u.silent)
+		if lost := utilisation < fullUse; r.attempts[0].lost != lost || (u.places() == 0) != lost || (r.out == 2) != lost || u.silent {
+			t.Errorf("utilisation %v: got lost %v, %d slots occupied, %d attempts in flight, silent %v; want it lost and hedged only at 0.2, never silent",
+				utilisation, r.attempts[0].lost, u.places(), r.out, u.silent)
 		}
 		b.Timer(now+b.patience(u, 1), tickToken)
-		if utilization < fullUse && u.silent {
-			t.Errorf("silent for the sake of a lost attempt: %v", h.lines[len(h.lines)-3:])
+		if utilisation < fullUse && u.silent {
+			t.Errorf("upstream counts as silent because of a lost attempt: got last actions %v", h.lines[len(h.lines)-3:])
 		}
 	}
 }
 
-// Trials of a silent server once came at ever longer intervals, and one that failed to connect put off its turns as well.
+// Guards against intervals between trials of a silent upstream that grow without limit, or are prolonged by
+// failed connects.
 func TestTrialIntervalIsLimitedByWarmupTime(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.ups[0], time.Hour
@@ -281,13 +289,13 @@
 		b.Outcome(now+ms, Outcome{ID: i + 1, Upstream: u.ID, Latency: ms, Status: ConnectFailed, RequestDone: true})
 	}
 	if u.wait > b.s.Requirements.WarmupTime || u.freeAt > now+ms {
-		t.Errorf("waits %v between trials (ramp %v), no turn for another %v", u.wait, b.s.Requirements.WarmupTime, u.freeAt-now)
+		t.Errorf("got %v between trials, want at most %v; got no turn for another %v, want at most 1ms",
+			u.wait, b.s.Requirements.WarmupTime, u.freeAt-now)
 	}
 }
 
-// A booking, worth three timetables and with less time, was refused 50 ms after it came while timetables waited for the
-// next turns and got them.
-func TestMoreValuableClassIsHeldLonger(t *testing.T) {
+// Guards against valuable requests that are refused while less valuable ones stay queued.
+func TestMoreValuableClassIsQueuedLonger(t *testing.T) {
 	s := settings()
 	s.WorthByWork, s.Classes[1].Worth = false, 15
 	s.Classes[0].Worth, s.Classes[0].LateWorth = 5, s.Classes[1].LateWorth
@@ -299,11 +307,12 @@
 	b.Request(now, Request{ID: 2, Class: "read", Budget: time.Second})
 	valuable := b.requests[1].sendBy - now
 	if cheap := b.requests[2].sendBy - now; valuable < cheap+25*ms || valuable > s.Classes[1].LatencyTarget {
-		t.Errorf("a class of worth 15 is held for %v, one of worth 5 with the same aim for %v", valuable, cheap)
+		t.Errorf("got queue time %v for worth 15, want it 25ms longer than %v for worth 5, and within the target",
+			valuable, cheap)
 	}
 }
 
-// Refused just before its aim a request could only come back late, and took a turn for a fifth of its worth.
+// Guards against refusals so late that the client's retry cannot meet the latency target.
 func TestRefusalLeavesTimeForRetry(t *testing.T) {
 	s := settings()
 	b, h := start(t, s, fleet(1))
@@ -319,11 +328,12 @@
 		first = cmp.Or(first, now-time.Hour)
 	}
 	if elapsed := now - time.Hour; h.count("refuse") != 2 || elapsed+time.Duration(b.lat) > s.Classes[0].LatencyTarget || first < s.Classes[0].LatencyTarget/4 {
-		t.Errorf("two tries held for %v and %v with an aim of %v", first, elapsed-first, s.Classes[0].LatencyTarget)
+		t.Errorf("got two tries queued for %v and %v, want both answered within the target of %v",
+			first, elapsed-first, s.Classes[0].LatencyTarget)
 	}
 }
 
-// The newest stand first: what many newer ones had buried was held to the end of its time for nothing.
+// Guards against requests that stay queued although more are ahead of them than can be sent in time.
 func TestRequestBehindTooManyOthersIsRefused(t *testing.T) {
 	s := settings()
 	s.WorthByWork = false
@@ -334,22 +344,23 @@
 	for i := range RequestID(10) {
 		b.Request(now, Request{ID: i + 1, Class: []string{"keyed", "read"}[min(i, 1)], Budget: time.Second})
 	}
-	left := (b.requests[10].sendBy - now).Seconds()
+	timeLeft := (b.requests[10].sendBy - now).Seconds()
 	b.dispatch(now)
-	ahead := int(b.pace * left) // so many turns come in the time of the last
+	ahead := int(b.pace * timeLeft) // requests that can be sent before the last one expires
 	if len(b.held) != ahead+1 || h.count("refuse") != 10-len(b.held) || b.requests[1] == nil || b.requests[10] == nil {
-		t.Errorf("%d held, %d refused, where %d turns come in time", len(b.held), h.count("refuse"), ahead)
+		t.Errorf("got %d queued, %d refused; want one more queued than the %d that can be sent in time",
+			len(b.held), h.count("refuse"), ahead)
 	}
 	if b.pace = 1000; len(b.held) > 0 {
 		before := len(b.held)
 		if b.dispatch(now); len(b.held) != before {
-			t.Errorf("%d of %d held where turns come fast", len(b.held), before)
+			t.Errorf("got %d requests queued at a high send rate, want all %d", len(b.held), before)
 		}
 	}
 }
 
-// A balancer of many has a good part of what its few servers answer, and a small one of the whole traffic: quotas by
-// the former let a tenant send twenty times its share.
+// Guards against quotas that follow a balancer's share of its subset's traffic, which is much larger than
+// its share of the whole traffic.
 func TestQuotaIsShareOfWholeTraffic(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Tenants = 80, []Tenant{{Name: "big", Quota: 800}}
@@ -364,21 +375,23 @@
 	}
 	subsetShare := float64(len(b.near)) / 60
 	if got, want := b.rate(800), 800*0.2*subsetShare; subsetShare > 0.2 || math.Abs(got-want) > want/20 {
-		t.Errorf("rate %.1f of a quota of 800 at a fifth of %.0f%% of the servers, want %.1f", got, 100*subsetShare, want)
+		t.Errorf("got rate %.1f of a quota of 800 with a fifth of the traffic of %.0f%% of the upstreams, want %.1f",
+			got, 100*subsetShare, want)
 	}
 }
 
-// A quota split over many balancers is a few requests a second: chance alone passed it often.
+// Guards against a small quota, as from a split over many balancers, that random arrivals exceed though
+// their mean rate does not.
 func TestSmallQuotaAllowsRandomBursts(t *testing.T) {
 	rng, customer, now, over := rand.New(rand.NewPCG(1, 2)), tenant{}, time.Duration(0), 0
-	for range 2000 { // 1.6 a second, by chance
+	for range 2000 { // random arrivals, 1.6 per second
 		now += time.Duration(rng.ExpFloat64() / 1.6 * float64(time.Second))
 		if customer.over(now, 2) {
 			over++
 		}
 	}
 	if over > 2000/20 {
-		t.Errorf("%d of 2000 requests over a quota that they keep", over)
+		t.Errorf("mean rate below the quota: got %d of 2000 requests over it, want at most 100", over)
 	}
 	over = 0
 	for range 2000 { // three times the quota
@@ -388,25 +401,26 @@
 		}
 	}
 	if over < 1200 {
-		t.Errorf("%d of 2000 requests over a quota that they pass threefold", over)
+		t.Errorf("three times the quota: got %d of 2000 requests over it, want at least 1200", over)
 	}
 }
 
-// Worth may be nought: no class is then held by a figure that is none.
+// Guards against a class with Worth 0 that is taken for the least valuable one, which would make stakes
+// zero or NaN.
 func TestClassWithoutWorthDoesNotAffectStake(t *testing.T) {
 	s := settings()
 	s.Classes[0].Worth = 0
 	b, _ := start(t, s, fleet(1))
 	if x := b.plan.stake(b.plan.Class("read").Worth); x != 1 {
-		t.Errorf("stake %v of a class worth nothing", x)
+		t.Errorf("class with worth 0: got stake %v, want 1", x)
 	}
 	if x := b.plan.stake(b.plan.Class("keyed").Worth); x != s.Classes[2].Worth/s.Classes[1].Worth {
-		t.Errorf("stake %v beside a class worth nothing", x)
+		t.Errorf("class with worth 3: got stake %v, want 2/3", x)
 	}
 }
 
-// In maintenance an upstream gets nothing, whatever lists say, until the one call back; then its turn comes at once and
-// it counts as cold.
+// Guards against requests to an upstream in maintenance, whatever the lists say, and against one that gets
+// no request or counts as warm when its maintenance ends.
 func TestUpstreamInMaintenanceReceivesNothing(t *testing.T) {
 	s := settings()
 	s.Balancers = 1
@@ -422,40 +436,40 @@
 		return got
 	}
 	if got := sendRequests(60); got[2] == 0 {
-		t.Fatalf("at first: %v", got)
+		t.Fatalf("before maintenance: got requests by upstream %v, want some for 2", got)
 	}
 	b.SetMaintenance(now, 2, true)
 	b.SetMaintenance(now, 2, true)
 	if got := sendRequests(60); got[2] != 0 {
-		t.Errorf("left out: %v", got)
+		t.Errorf("in maintenance: got requests by upstream %v, want none for 2", got)
 	}
-	b.Members(now, ListFull, fleet(1)) // it leaves the list and is forgotten
+	b.Members(now, ListFull, fleet(1)) // removes the upstream from the list
 	sendRequests(120)
 	restarted := fleet(3)
 	restarted[1].StartedAt = now
 	b.Members(now, ListFull, restarted)
 	if got := sendRequests(60); got[2] != 0 || got[3] == 0 {
-		t.Errorf("left out, and back on the list: %v", got)
+		t.Errorf("in maintenance, listed again: got requests by upstream %v, want none for 2 and some for 3", got)
 	}
 	b.SetMaintenance(now, 2, false)
 	if u := b.byID[2]; !u.cold || u.coldAt != now {
-		t.Errorf("called back: cold %v since %v", u.cold, u.coldAt)
+		t.Errorf("after maintenance: got cold %v since %v, want cold since its end", u.cold, u.coldAt)
 	}
 	if got := sendRequests(6); got[2] == 0 {
-		t.Errorf("called back: %v", got)
+		t.Errorf("after maintenance: got requests by upstream %v, want some for 2", got)
 	}
 	coldSince := b.byID[2].coldAt
-	restarted[1].StartedAt = coldSince - 100*ms // the start that the return stands for, told late
+	restarted[1].StartedAt = coldSince - 100*ms // the restart during maintenance, listed late
 	b.Members(now, ListDelta, restarted[1:2])
 	if b.byID[2].coldAt != coldSince {
-		t.Error("a start before the return counted as another one")
+		t.Error("start before the end of maintenance counted as another restart")
 	}
 	if h.count("refuse") != 0 {
-		t.Errorf("%d refused beside free upstreams", h.count("refuse"))
+		t.Errorf("got %d refusals although upstreams were free, want none", h.count("refuse"))
 	}
 }
 
-// With every upstream in maintenance requests are refused at once, those that are held too. Without a list they wait.
+// Guards against requests that wait in the queue although all upstreams are in maintenance.
 func TestRequestsAreRefusedWhenAllUpstreamsAreInMaintenance(t *testing.T) {
 	b, h := start(t, settings(), fleet(2))
 	now := time.Hour + ms
@@ -463,60 +477,63 @@
 		b.Request(now, Request{ID: id + 1, Class: "write", Budget: time.Second})
 	}
 	if len(b.held) == 0 {
-		t.Fatal("none is held")
+		t.Fatal("got no queued requests, want some")
 	}
 	b.SetMaintenance(now, 1, true)
 	b.SetMaintenance(now, 2, true)
 	if len(b.held) != 0 {
-		t.Errorf("%d are held for nobody", len(b.held))
+		t.Errorf("got %d queued requests without upstreams, want none", len(b.held))
 	}
 	b.Request(now, Request{ID: 77, Class: "read", Budget: time.Second})
 	if h.count("refuse id=77") != 1 {
-		t.Error("not refused at once")
+		t.Error("request 77 was not refused at once")
 	}
 	b.SetMaintenance(now, 2, false)
 	b.Request(now, Request{ID: 78, Class: "read", Budget: time.Second})
 	if h.count("refuse id=78") != 0 {
-		t.Error("refused with an upstream back")
+		t.Error("request 78 was refused although an upstream was back from maintenance")
 	}
 }
 
-// While the body of an open request comes nothing is worked on: it takes no place, its upstream does not count as
-// silent, and its time begins at the last byte.
+// Guards against a streaming request that, before its body is complete, occupies a slot, makes its upstream
+// count as silent or uses up its deadline.
 func TestStreamingRequestOccupiesNoSlotUntilBodyComplete(t *testing.T) {
 	s := settings()
 	s.Balancers = 1
 	b, h := start(t, s, fleet(1))
 	now := time.Hour
 	u := b.byID[1]
-	for id := range RequestID(20) { // far more than there are places
+	for id := range RequestID(20) { // more than there are slots
 		b.Request(now, Request{ID: id + 1, Class: "write", Budget: time.Second, Streaming: true})
 	}
 	if len(u.outs) != 20 || u.places() != 0 {
-		t.Fatalf("%d sent, %d places taken", len(u.outs), u.places())
+		t.Fatalf("got %d attempts in flight, %d slots occupied; want 20, 0", len(u.outs), u.places())
 	}
-	for range 400 { // 4 s: far over the deadline and any patience
+	for range 400 { // 4 s: longer than the deadline and the silence timeout
 		now += 10 * ms
 		b.Timer(now, tickToken)
 	}
 	if h.count("refuse")+h.count("fail")+h.count("cancel") != 0 || u.silent {
-		t.Fatalf("while it came: silent %v, %v", u.silent, h.lines)
+		t.Fatalf("while bodies arrive: got silent %v, actions %v; want false, and no refusal, failure or cancellation",
+			u.silent, h.lines)
 	}
 	b.BodyComplete(now, 1)
 	if u.places() != 1 {
-		t.Errorf("once whole it takes %d places", u.places())
+		t.Errorf("body complete: got %d slots occupied, want 1", u.places())
 	}
 	b.Outcome(now+40*ms, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true})
 	if got := time.Duration(u.lat); got != 40*ms {
-		t.Errorf("latency %v", got)
+		t.Errorf("got latency %v, want 40ms", got)
 	}
 	b.BodyComplete(now, 2)
 	if r := b.requests[2]; r.deadline != now+time.Second || r.attempts[0].sentAt != now {
-		t.Errorf("deadline %v after its last byte", r.deadline-now)
+		t.Errorf("got deadline %v after the body was complete, want 1s, and the attempt's time to begin then",
+			r.deadline-now)
 	}
 }
 
-// An open request goes to a second upstream only while its body can still be sent from the start, and never to two.
+// Guards against a streaming request that is sent to two upstreams at once, or sent again after part of its
+// body has been consumed.
 func TestStreamingRequestIsNotHedged(t *testing.T) {
 	s := settings()
 	s.Limits.Hedging = true
@@ -526,19 +543,20 @@
 	first := b.requests[1].attempts[0]
 	b.rescue(first, now)
 	if h.count("send id=1 ") != 1 {
-		t.Fatal("a second copy of a body that comes once")
+		t.Fatal("streaming request was hedged, want one attempt")
 	}
 	b.Outcome(now, Outcome{ID: 1, Upstream: first.up.ID, Status: ConnectFailed})
 	if h.count("send id=1 ") != 2 {
-		t.Fatal("not sent elsewhere, though nothing of it was used up")
+		t.Fatal("streaming request was not retried although its body was not consumed")
 	}
 	b.Outcome(now, Outcome{ID: 1, Upstream: b.requests[1].attempts[1].up.ID, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
 	if h.count("send id=1 ") != 2 || h.count("refuse id=1 ") != 1 {
-		t.Errorf("used up, then: %v", h.lines)
+		t.Errorf("body consumed: got actions %v, want a refusal and no third attempt", h.lines)
 	}
 }
 
-// An answer that has begun tells all of its upstream at once and frees the place; its long end teaches nothing.
+// Guards against a streamed response that occupies a slot or makes its upstream count as silent until it
+// ends, or whose whole duration counts as latency.
 func TestStartedResponseFreesItsSlot(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	now := time.Hour + 40*ms
@@ -546,30 +564,33 @@
 	u := b.byID[1]
 	b.ResponseStarted(now, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true, Load: Load{Fields: HasUtil, Util: 0.5}})
 	if u.places() != 0 || u.readings != 1 || time.Duration(u.lat) != 40*ms {
-		t.Errorf("%d places, %d readings, latency %v", u.places(), u.readings, time.Duration(u.lat))
+		t.Errorf("response started: got %d slots occupied, %d readings, latency %v; want 0, 1, 40ms",
+			u.places(), u.readings, time.Duration(u.lat))
 	}
 	for range 500 {
 		now += 10 * ms
 		b.Timer(now, tickToken)
 	}
 	if u.silent || h.count("refuse")+h.count("fail")+h.count("cancel") != 0 {
-		t.Errorf("while it passes: silent %v, %v", u.silent, h.lines)
+		t.Errorf("during the response: got silent %v, actions %v; want false, and no refusal, failure or cancellation",
+			u.silent, h.lines)
 	}
 	b.Outcome(now, Outcome{ID: 1, Upstream: 1, Latency: 5 * time.Second, Status: Reset, RequestDone: true})
 	if time.Duration(u.lat) != 40*ms || len(b.requests) != 0 || len(u.outs) != 0 {
-		t.Errorf("at its end: latency %v, %d requests, %d out", time.Duration(u.lat), len(b.requests), len(u.outs))
+		t.Errorf("response ended: got latency %v, %d open requests, %d attempts in flight; want 40ms, 0, 0",
+			time.Duration(u.lat), len(b.requests), len(u.outs))
 	}
 }
 
-// A balancer that has just started knows after a second or two what a warm upstream carries, so that a cold one gets
-// its part: a mean that rises from nothing once left it idle for ten.
+// Guards against a new balancer that takes many seconds to learn the work of a warm upstream, and leaves
+// cold ones idle until then.
 func TestNewBalancerLearnsWarmUpstreamWorkSoon(t *testing.T) {
 	s := settings()
 	s.Balancers = 1
 	b, _ := start(t, s, fleet(2))
 	now, id := time.Hour, RequestID(0)
 	serveFor := func(periods int) {
-		for range periods * 50 { // 25 a second for each of the two
+		for range periods * 50 { // 25 per second for each of the two upstreams
 			now, id = now+20*ms, id+1
 			b.Timer(now, tickToken)
 			b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
@@ -578,28 +599,28 @@
 				Load: Load{Fields: HasUtil, Util: 0.5 + 0.001*float64(id%7)}})
 		}
 	}
-	for range 4 { // it waits for its turn to serve
+	for range 4 { // before the first request
 		now += bandPeriod
 		b.Timer(now, tickToken)
 	}
 	if b.carry != 0 {
-		t.Fatalf("carry %v before anything was sent", b.carry)
+		t.Fatalf("got work of a warm upstream %v before the first request, want 0", b.carry)
 	}
 	serveFor(3)
 	if full := 25 / 0.5; b.carry < 0.6*full || b.carry > 1.2*full {
-		t.Errorf("after 3 s carry is %.1f, want about %.0f", b.carry, full)
+		t.Errorf("got work of a warm upstream %.1f after 3 s, want about %.0f", b.carry, full)
 	}
 }
 
-// When the other balancer is drained this one has all of the traffic at once, and all of the servers within three
-// periods; when it comes back its part is given up no faster than before.
+// Guards against a traffic share that grows too slowly when another balancer drains, or falls too fast when
+// it is back.
 func TestGrowingTrafficShareIsFollowedFaster(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	now := time.Hour
-	runPeriod := func(others float64) {
+	runPeriod := func(otherRate float64) {
 		now += bandPeriod
 		for _, u := range b.ups {
-			u.answers, u.last.RequestRate = 20, 20+others
+			u.answers, u.last.RequestRate = 20, 20+otherRate
 		}
 		b.step(now)
 	}
@@ -610,13 +631,13 @@
 		runPeriod(0)
 	}
 	if b.part < 0.95 {
-		t.Errorf("3 s after the other one has gone the part is %.2f", b.part)
+		t.Errorf("got traffic share %.2f 3 s after the other balancer left, want at least 0.95", b.part)
 	}
 	for range 40 {
 		runPeriod(0)
 	}
 	runPeriod(20)
 	if b.part < 0.8 {
-		t.Errorf("1 s after it is back the part is %.2f", b.part)
+		t.Errorf("got traffic share %.2f 1 s after the other balancer returned, want at least 0.8", b.part)
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// modelUpstream is an upstream that works on one request after another, each of mean work. It reports its use and its rate in
-// its answers, refreshed now and then. Cold, it is in truth as fast as warm: nothing but the rule keeps requests off it.
+// modelUpstream is an upstream that serves one request at a time, each with the same work. Its responses
+// carry a report of its utilisation and request rate. It is as fast when cold as when warm, so only slow
+// start limits its requests.
 type modelUpstream struct {
 	*simClock
 	requirements Requirements
-	warmRate     float64       // requests a second once warm
+	warmRate     float64       // requests per second when warm
 	startedAt    time.Duration // 0: long ago
 	idleAt       time.Duration
 	report       Load
@@ -24,11 +25,11 @@
 }
 
 const (
-	modelFixedLatency   = 20 * ms // of an answer beside its work and its wait
-	modelReportInterval = 400 * ms
+	modelFixedLatency   = 20 * ms  // added to the time for queueing and work
+	modelReportInterval = 400 * ms // minimum time between updates of the report
 )
 
-// capacity is what it can serve a second as far as the settings go.
+// capacity returns the requests per second that u can serve according to the settings.
 func (u *modelUpstream) capacity(at time.Duration) float64 {
 	if age := at - u.startedAt; u.startedAt > 0 && age < u.requirements.WarmupTime {
 		return u.warmRate * (u.requirements.ColdCapacity + (1-u.requirements.ColdCapacity)*float64(age)/float64(u.requirements.WarmupTime))
@@ -36,7 +37,7 @@
 	return u.warmRate
 }
 
-// take works on a request and tells when it is answered.
+// handle serves a request and calls respond with the current report when the response arrives.
 func (u *modelUpstream) handle(respond func(Load)) {
 	u.arrivals = append(u.arrivals, u.now)
 	workTime := time.Duration(float64(time.Second) / u.warmRate)
@@ -51,7 +52,7 @@
 	})
 }
 
-// sender is a balancer whose requests go to model upstreams.
+// modelProxy is the Host of a balancer whose requests go to model upstreams.
 type modelProxy struct {
 	recorder
 	*simClock
@@ -74,13 +75,12 @@
 
 func (p *modelProxy) Log(string) {}
 
-// Cold upstreams fall under the sum of what all balancers send. However many share one, however uneven their traffic, also
-// where the balancers have just started or all upstreams are cold, the sum stays within what the settings allow: in any
-// OverloadWindow no more than N + 2 x root of N + 2, N being the multiple of what the upstream can do in it. Yet it is used, or
-// the others would have to carry its part.
+// Guards against cold upstreams that are overloaded by all balancers together, or not used at all. In any
+// OverloadWindow an upstream may receive N + 2*sqrt(N) + 2 requests, where N is its capacity in that time
+// multiplied by OverloadFactor.
 func TestColdUpstreamIsNotOverloadedByAllBalancersTogether(t *testing.T) {
 	for _, c := range []coldStartCase{
-		{30, 2, 1, 3, 0.3, 3 * time.Second}, // all balancers share the cold one
+		{30, 2, 1, 3, 0.3, 3 * time.Second}, // all balancers use the cold upstream
 		{30, 3, 1, 2, 0.2, 1500 * ms},
 		{20, 6, 1, 2.5, 0.4, 2 * time.Second},
 		{30, 10, 5, 2, 0.2, 1500 * ms},
@@ -92,9 +92,8 @@
 	}
 }
 
-// The same with nearly all upstreams cold, under settings that allow less than those of any site that is known. Cold ones got
-// up to 1% over what is allowed with chance, on up to ten at once. Most balancers' stretches go on past cold upstreams, to
-// other cold ones: counted second by second, eleven to thirteen balancers used each upstream, where a budget is for six.
+// Guards against budgets that ignore how subsets grow when most upstreams are cold: each upstream is then
+// used by about twice as many balancers as usual.
 func TestMostlyColdFleetIsNotOverloaded(t *testing.T) {
 	for _, c := range []coldStartCase{{30, 10, 8, 2, 0.2, 1500 * ms}, {30, 10, 10, 2, 0.2, 1500 * ms}} {
 		c.run(t, false)
@@ -102,14 +101,16 @@
 	}
 }
 
-// warmUp is a fleet that serves as a part of its upstreams come back cold, and what the settings allow these.
+// coldStartCase describes a fleet of which some upstreams restart under load, and the settings for cold
+// upstreams.
 type coldStartCase struct {
 	balancers, upstreams, coldUpstreams int
 	overloadFactor, coldCapacity        float64
 	overloadWindow                      time.Duration
 }
 
-// hold plays it on some seeds, with balancers that have just started too.
+// run simulates the case with several seeds. If justStarted is set, the balancers start as the upstreams
+// restart.
 func (c coldStartCase) run(t *testing.T, justStarted bool) {
 	t.Run(fmt.Sprintf("%+v, young %v", c, justStarted), func(t *testing.T) {
 		for seed := range uint64(max(1, 4/c.upstreams)) {
@@ -121,13 +122,13 @@
 	})
 }
 
-// play has the fleet serve, if it is not young for a while before, as the upstreams come back cold under a burst, and holds
-// these against the rule.
+// simulate restarts the upstreams under a burst of traffic, after a while of normal traffic unless
+// justStarted is set, and checks how many requests the cold upstreams receive.
 func (c coldStartCase) simulate(t *testing.T, s Settings, justStarted bool, seed uint64) {
 	t.Helper()
 	const (
-		warmRate    = 120.0 // requests a second of a warm one
-		utilization = 0.9   // of all upstreams, before the burst
+		warmRate    = 120.0 // requests per second of a warm upstream
+		utilisation = 0.9   // of all upstreams, before the burst
 		burstFactor = 1.5
 	)
 	rng, clock := rand.New(rand.NewPCG(seed, 9)), &simClock{now: time.Hour}
@@ -135,7 +136,7 @@
 	for _, e := range list {
 		byID[e.ID] = &modelUpstream{simClock: clock, requirements: s.Requirements, warmRate: warmRate, reportedAt: clock.now}
 	}
-	weights, total, rateFactor := make([]float64, s.Balancers), 0.0, 1.0 // of the traffic: some get several times the mean
+	weights, total, rateFactor := make([]float64, s.Balancers), 0.0, 1.0 // of the balancers' traffic, some several times the mean
 	for i := range weights {
 		weights[i] = 0.2 + rng.ExpFloat64()
 		total += weights[i]
@@ -149,7 +150,7 @@
 		}
 		proxy.b, proxies = b, append(proxies, proxy)
 		b.Members(clock.now, ListCached, list)
-		rate, id := weights[s.Rank]/total*utilization*warmRate*float64(c.upstreams), RequestID(0)
+		rate, id := weights[s.Rank]/total*utilisation*warmRate*float64(c.upstreams), RequestID(0)
 		var scheduleRequest func()
 		scheduleRequest = func() {
 			clock.after(time.Duration(rng.ExpFloat64()/rate/rateFactor*float64(time.Second)), func() {
@@ -183,13 +184,15 @@
 			}
 			maxRequests := s.Requirements.OverloadFactor * u.capacity(max(restartedAt, at-s.Requirements.OverloadWindow/2)) * s.Requirements.OverloadWindow.Seconds()
 			if got, limit := float64(last-first+1), maxRequests+2*math.Sqrt(maxRequests)+2; got > limit {
-				t.Errorf("seed %d: upstream %d got %.0f up to %v after its start, %.1f are allowed with chance", seed, e.ID, got, at-restartedAt, limit)
+				t.Errorf("seed %d: upstream %d got %.0f requests in a window that ends %v after its start, want at most %.1f",
+					seed, e.ID, got, at-restartedAt, limit)
 				break
 			}
 		}
 	}
-	warmupCapacity := s.Requirements.WarmupTime.Seconds() * warmRate * (s.Requirements.ColdCapacity + 1) / 2 // what one can do in the ramp
+	warmupCapacity := s.Requirements.WarmupTime.Seconds() * warmRate * (s.Requirements.ColdCapacity + 1) / 2 // requests of one upstream
 	if float64(sent) < warmupCapacity*float64(c.coldUpstreams)/3 {
-		t.Errorf("seed %d: %d sent to %d cold upstreams that could do %.0f each", seed, sent, c.coldUpstreams, warmupCapacity)
+		t.Errorf("seed %d: got %d requests for %d cold upstreams, want at least a third of %.0f for each",
+			seed, sent, c.coldUpstreams, warmupCapacity)
 	}
 }
