--- a/host_test.go
+++ b/helpers_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// recorder is a Host that writes down what it is asked to do.
+// recorder is a Host that records each action as a line of text and passes it to onAction, if that is set.
 type recorder struct {
-	lines []string
-	hook  func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
+	lines    []string
+	onAction func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
 }
 
-func (h *recorder) note(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
-	h.lines = append(h.lines, fmt.Sprintf("%s id=%d up=%d d=%v n=%d", kind, id, up, d, n))
-	if h.hook != nil {
-		h.hook(kind, id, up, d, n)
+func (h *recorder) record(kind string, id RequestID, up UpstreamID, duration time.Duration, number uint64) {
+	h.lines = append(h.lines, fmt.Sprintf("%s id=%d up=%d d=%v n=%d", kind, id, up, duration, number))
+	if h.onAction != nil {
+		h.onAction(kind, id, up, duration, number)
 	}
 }
 
 func (h *recorder) Send(id RequestID, up UpstreamID, d, _ time.Duration) {
-	h.note("send", id, up, d, 0)
+	h.record("send", id, up, d, 0)
 }
-func (h *recorder) Refuse(id RequestID, d time.Duration) { h.note("refuse", id, 0, d, 0) }
-func (h *recorder) Fail(id RequestID)                    { h.note("fail", id, 0, 0, 0) }
-func (h *recorder) Cancel(id RequestID, n int)           { h.note("cancel", id, 0, 0, uint64(n)) }
-func (h *recorder) Probe(up UpstreamID)                  { h.note("probe", 0, up, 0, 0) }
-func (h *recorder) Disconnect(up UpstreamID)             { h.note("disconnect", 0, up, 0, 0) }
-func (h *recorder) Watch(on bool)                        { h.note("watch", 0, 0, 0, 0) }
-func (h *recorder) Fetch()                               { h.note("fetch", 0, 0, 0, 0) }
-func (h *recorder) SetTimer(d time.Duration, n uint64)   { h.note("timer", 0, 0, d, n) }
-func (h *recorder) Log(text string)                      { h.note("log: "+text, 0, 0, 0, 0) }
+func (h *recorder) Refuse(id RequestID, d time.Duration) { h.record("refuse", id, 0, d, 0) }
+func (h *recorder) Fail(id RequestID)                    { h.record("fail", id, 0, 0, 0) }
+func (h *recorder) Cancel(id RequestID, n int)           { h.record("cancel", id, 0, 0, uint64(n)) }
+func (h *recorder) Probe(up UpstreamID)                  { h.record("probe", 0, up, 0, 0) }
+func (h *recorder) Disconnect(up UpstreamID)             { h.record("disconnect", 0, up, 0, 0) }
+func (h *recorder) Watch(on bool)                        { h.record("watch", 0, 0, 0, 0) }
+func (h *recorder) Fetch()                               { h.record("fetch", 0, 0, 0, 0) }
+func (h *recorder) SetTimer(d time.Duration, n uint64)   { h.record("timer", 0, 0, d, n) }
+func (h *recorder) Log(text string)                      { h.record("log: "+text, 0, 0, 0, 0) }
 
-// count tells how many recorded lines begin with prefix.
+// count returns the number of recorded lines that begin with prefix.
 func (h *recorder) count(prefix string) int {
 	n := 0
 	for _, l := range h.lines {
@@ -45,7 +45,7 @@
 
 const ms = time.Millisecond
 
-// settings returns valid settings with one class of each repeat kind.
+// settings returns valid settings with one class of each Idempotency.
 func settings() Settings {
 	return Settings{
 		Zone: "near", Balancers: 2, OverQuotaWorth: 0.1, WorthByWork: true,
@@ -65,7 +65,7 @@
 	}
 }
 
-// fleet returns n active upstreams, long started, in two zones and three cells.
+// fleet returns n warm, active upstreams in two zones and three cells.
 func fleet(n int) []Upstream {
 	list := make([]Upstream, n)
 	for i := range list {
