--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -155,7 +155,7 @@
 	l := newLoop(t.Context(), &c)
 	l.maxConns = 0
 	l.start(&c, nil)
-	r := &request{at: l.now(), reply: make(chan answer, 1)}
+	r := &request{at: l.now(), reply: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", time.Second
 	arrived{r}.apply(l)
 	l.settle()
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -26,15 +26,15 @@
 const (
 	// followEvery is how often a process looks for what the other one was told. A yes waits for two looks, and an
 	// operator waits a second.
-	followEvery = 20 * time.Millisecond
+	ordersPollInterval = 20 * time.Millisecond
 	// lockEvery is the time between two tries at the lock, which is held for one read and one write.
-	lockEvery = 2 * time.Millisecond
+	lockRetryInterval = 2 * time.Millisecond
 	// ordersMost bounds the file: as many ids as are kept, with names of usual length.
-	ordersMost = 256 << 10
+	maxOrdersBytes = 256 << 10
 	// overlap is how many processes share the limits: the old one and the new one. More may live, where one that was
 	// replaced has not ended yet.
-	overlap   = 2
-	livesMost = 4
+	overlapProcesses = 2
+	maxProcesses     = 4
 )
 
 // Listen returns the clients' listener: the inherited one if there is one.
@@ -49,7 +49,7 @@
 	// A socket that does not listen would be taken for one, and show only when nobody can be accepted.
 	if on, err := syscall.GetsockoptInt(c.Inherited, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
 		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is no listening socket: %w", c.Inherited,
-			cmpError(err, syscall.EINVAL))
+			errorOr(err, syscall.EINVAL))
 	}
 	f := os.NewFile(uintptr(c.Inherited), "inherited listener")
 	defer f.Close() // the listener has one of its own
@@ -64,63 +64,63 @@
 	return l, nil
 }
 
-func cmpError(err, otherwise error) error {
+func errorOr(err, fallback error) error {
 	if err != nil {
 		return err
 	}
-	return otherwise
+	return fallback
 }
 
 // orders are what operators have called for and not called back.
-type orders struct {
+type operatorOrders struct {
 	OutOfService bool     `json:"out_of_service"`
 	Offline      []string `json:"offline"`
 }
 
 // stateFile keeps the orders in a file that the processes of one balancer share, one after another and while they overlap.
 type stateFile struct {
-	path   string
-	shared bool     // another process may live beside this one
-	life   *os.File // locked for as long as this process lives
-	place  int      // which of the files that tell who lives
-
-	held atomic.Pointer[orders]
-	mu   sync.Mutex  // over changes of held
-	seen os.FileInfo // of the file that held was read from
+	path        string
+	shared      bool     // another process may live beside this one
+	processLock *os.File // locked for as long as this process lives
+	slot        int      // which of the files that tell who lives
+
+	current     atomic.Pointer[operatorOrders]
+	mu          sync.Mutex  // over changes of held
+	currentInfo os.FileInfo // of the file that held was read from
 }
 
 // openStateFile reads what the process before has left. A file that can't be used is reported and no more: the start goes on.
 func openStateFile(c *Config) (*stateFile, error) {
-	b := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.Inherited != 0}
-	for try := 0; b.shared && b.life == nil && try < 10*livesMost; try++ { // another one's look lasts for a moment
-		b.place = try % livesMost
+	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.Inherited != 0}
+	for try := 0; s.shared && s.processLock == nil && try < 10*maxProcesses; try++ { // another one's look lasts for a moment
+		s.slot = try % maxProcesses
 		var err error
-		if b.life, err = tryLock(b.lifePath(b.place)); err != nil {
+		if s.processLock, err = tryLock(s.processLockPath(s.slot)); err != nil {
 			return nil, fmt.Errorf("orders: %w", err)
 		}
-		if b.life == nil {
-			time.Sleep(lockEvery)
+		if s.processLock == nil {
+			time.Sleep(lockRetryInterval)
 		}
 	}
-	o, _, err := b.read()
+	o, _, err := s.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		slog.Info("orders: none are kept", "file", b.path)
+		slog.Info("orders: none are kept", "file", s.path)
 	case err != nil:
 		slog.Error("orders: what is kept can't be used, nothing counts as called out", "err", err)
 	default:
 		slog.Info("orders read", "out_of_service", o.OutOfService, "offline", o.Offline)
 	}
-	b.held.Store(&o)
-	return b, nil
+	s.current.Store(&o)
+	return s, nil
 }
 
-func (b *stateFile) lifePath(place int) string { return fmt.Sprintf("%s.life%d", b.path, place) }
+func (s *stateFile) processLockPath(slot int) string { return fmt.Sprintf("%s.life%d", s.path, slot) }
 
 // close gives up what is locked.
-func (b *stateFile) close() {
-	if b.life != nil {
-		b.life.Close()
+func (s *stateFile) close() {
+	if s.processLock != nil {
+		s.processLock.Close()
 	}
 }
 
@@ -138,12 +138,12 @@
 }
 
 // alone tells whether no other process of this balancer lives.
-func (b *stateFile) alone() bool {
-	for place := range livesMost {
-		if !b.shared || place == b.place {
+func (s *stateFile) alone() bool {
+	for slot := range maxProcesses {
+		if !s.shared || slot == s.slot {
 			continue
 		}
-		f, err := tryLock(b.lifePath(place))
+		f, err := tryLock(s.processLockPath(slot))
 		if err == nil && f == nil {
 			return false
 		}
@@ -155,9 +155,9 @@
 }
 
 // read reads the file. Without an error it is whole: it is replaced, never written over.
-func (b *stateFile) read() (orders, os.FileInfo, error) {
-	var o orders
-	f, err := os.Open(b.path)
+func (s *stateFile) read() (operatorOrders, os.FileInfo, error) {
+	var o operatorOrders
+	f, err := os.Open(s.path)
 	if err != nil {
 		return o, nil, err
 	}
@@ -166,70 +166,70 @@
 	if err != nil {
 		return o, nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(f, ordersMost+1))
+	data, err := io.ReadAll(io.LimitReader(f, maxOrdersBytes+1))
 	if err != nil {
 		return o, info, err
 	}
-	if len(text) > ordersMost {
-		return orders{}, info, fmt.Errorf("%s: over %d bytes", b.path, ordersMost)
+	if len(data) > maxOrdersBytes {
+		return operatorOrders{}, info, fmt.Errorf("%s: over %d bytes", s.path, maxOrdersBytes)
 	}
-	if err := json.Unmarshal(text, &o); err != nil {
-		return orders{}, info, fmt.Errorf("%s: %w", b.path, err)
+	if err := json.Unmarshal(data, &o); err != nil {
+		return operatorOrders{}, info, fmt.Errorf("%s: %w", s.path, err)
 	}
 	return o, info, nil
 }
 
 // news looks whether another process was told anything since the last look.
-func (b *stateFile) news() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	info, err := os.Stat(b.path)
-	if err != nil || (b.seen != nil && os.SameFile(info, b.seen) && info.ModTime().Equal(b.seen.ModTime())) {
+func (s *stateFile) refresh() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	info, err := os.Stat(s.path)
+	if err != nil || (s.currentInfo != nil && os.SameFile(info, s.currentInfo) && info.ModTime().Equal(s.currentInfo.ModTime())) {
 		return false
 	}
-	o, info, err := b.read()
-	if b.seen = info; err != nil {
+	o, info, err := s.read()
+	if s.currentInfo = info; err != nil {
 		slog.Error("orders: a change can't be read, what held before holds", "err", err)
 		return false
 	}
-	b.held.Store(&o)
+	s.current.Store(&o)
 	return true
 }
 
 // change notes a call, on top of what the other process has noted.
-func (b *stateFile) change(ctx context.Context, by func(*orders)) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	lock, err := tryLock(b.path + ".lock")
+func (s *stateFile) update(ctx context.Context, modify func(*operatorOrders)) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	lock, err := tryLock(s.path + ".lock")
 	for err == nil && lock == nil {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("orders: the lock is held: %w", ctx.Err())
-		case <-time.After(lockEvery):
-			lock, err = tryLock(b.path + ".lock")
+		case <-time.After(lockRetryInterval):
+			lock, err = tryLock(s.path + ".lock")
 		}
 	}
 	if err != nil {
 		return fmt.Errorf("orders: %w", err)
 	}
 	defer lock.Close()
-	o, _, err := b.read()
+	o, _, err := s.read()
 	if err != nil { // missing, or spoilt: what this process goes by is the best there is
-		o = *b.held.Load()
+		o = *s.current.Load()
 	}
 	o.Offline = slices.Clone(o.Offline)
-	by(&o)
-	var text bytes.Buffer
-	if err := json.NewEncoder(&text).Encode(o); err != nil {
+	modify(&o)
+	var data bytes.Buffer
+	if err := json.NewEncoder(&data).Encode(o); err != nil {
 		return fmt.Errorf("orders: %w", err)
 	}
-	if err := os.WriteFile(b.path+".new", text.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(s.path+".new", data.Bytes(), 0o600); err != nil {
 		return fmt.Errorf("orders: %w", err)
 	}
-	if err := os.Rename(b.path+".new", b.path); err != nil {
+	if err := os.Rename(s.path+".new", s.path); err != nil {
 		return fmt.Errorf("orders: %w", err)
 	}
-	b.held.Store(&o)
-	b.seen, _ = os.Stat(b.path)
+	s.current.Store(&o)
+	s.currentInfo, _ = os.Stat(s.path)
 	return nil
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -90,15 +90,15 @@
 // Whatever stands in the file, a start goes on, and the next order is kept whole.
 func TestSpoiltOrdersHoldUpNoStart(t *testing.T) {
 	for what, text := range map[string]string{"empty": "", "cut short": `{"out_of_service":true,"offl`, "no JSON": "\x00\xff",
-		"another form": `{"offline":{"s-1":true}}`, "endless": strings.Repeat("[", ordersMost+10)} {
+		"another form": `{"offline":{"s-1":true}}`, "endless": strings.Repeat("[", maxOrdersBytes+10)} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "olivearch-n%2F0.json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		b := openTestStateFile(t, dir)
-		want(t, what+": drained", b.held.Load().OutOfService, false)
-		want(t, what+": left out", len(b.held.Load().Offline), 0)
-		if err := b.change(t.Context(), func(o *orders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
+		want(t, what+": drained", b.current.Load().OutOfService, false)
+		want(t, what+": left out", len(b.current.Load().Offline), 0)
+		if err := b.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 		if o, _, err := b.read(); err != nil || len(o.Offline) != 1 || o.OutOfService {
@@ -119,18 +119,18 @@
 		told *stateFile
 		id   string
 	}{{a, "s-1"}, {b, "s-2"}} {
-		if err := x.told.change(t.Context(), func(o *orders) { o.Offline = append(o.Offline, x.id) }); err != nil {
+		if err := x.told.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want(t, "heard", a.news(), true)
-	want(t, "both", strings.Join(a.held.Load().Offline, " "), "s-1 s-2")
-	want(t, "heard twice", a.news(), false)
+	want(t, "heard", a.refresh(), true)
+	want(t, "both", strings.Join(a.current.Load().Offline, " "), "s-1 s-2")
+	want(t, "heard twice", a.refresh(), false)
 	if err := os.WriteFile(b.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "a spoilt change is news", a.news(), false)
-	want(t, "held over it", len(a.held.Load().Offline), 2)
+	want(t, "a spoilt change is news", a.refresh(), false)
+	want(t, "held over it", len(a.current.Load().Offline), 2)
 	b.close()
 	want(t, "alone after its end", a.alone(), true)
 	lock, err := tryLock(a.path + ".lock")
@@ -140,7 +140,7 @@
 	defer lock.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if err := a.change(ctx, func(*orders) {}); !errors.Is(err, context.DeadlineExceeded) {
+	if err := a.update(ctx, func(*operatorOrders) {}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("with the lock held: %v", err)
 	}
 }
@@ -161,9 +161,9 @@
 	defer listener.Close()
 	d := newAdminServer(h.loop, newFrontend(&c, listener, h.loop), openTestStateFile(t, t.TempDir()))
 	said := make(chan error, 2)
-	order := func(id string) called {
+	order := func(id string) adminLoopCall {
 		go func() {
-			said <- d.order(t.Context(), func(o *orders) {
+			said <- d.updateOrders(t.Context(), func(o *operatorOrders) {
 				o.Offline, o.OutOfService = append(o.Offline, id), id == "s-00000002"
 			})
 		}()
@@ -177,7 +177,7 @@
 		want(t, "a call's answer", <-said, nil)
 	}
 	want(t, "left out", len(h.off), 2)
-	want(t, "drained", d.front.parting(), true)
+	want(t, "drained", d.front.closeAfterResponse(), true)
 }
 
 // succeed starts another process of b, on the same socket and beside it. Its discovery has told nothing yet.
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -42,9 +42,9 @@
 	garnettide.Request
 	name     string // the client's id of it
 	message  message
-	at       time.Duration // when its last byte had come
-	reply    chan answer   // holds the one answer
-	gone     atomic.Bool   // its client has gone: what is not written yet is not sent on, before the loop hears of it
+	at       time.Duration       // when its last byte had come
+	reply    chan clientResponse // holds the one answer
+	gone     atomic.Bool         // its client has gone: what is not written yet is not sent on, before the loop hears of it
 	deadline time.Duration
 	coming   bool // its body still comes: its time has not begun
 	attempts []*attempt
@@ -94,15 +94,15 @@
 	balancer  *garnettide.Balancer
 	ctx       context.Context
 	events    chan event
-	lists     chan listed // taken before any event: no send after a drain that has been told
-	calls     chan called // the operators', taken before any event
+	lists     chan listed        // taken before any event: no send after a drain that has been told
+	calls     chan adminLoopCall // the operators', taken before any event
 	logs      chan string
 	origin    time.Time
 	epoch     time.Duration
 	discovery *discovery
 	stopWatch context.CancelFunc // nil: the module does not follow discovery
 	dial      dialer
-	held      holder
+	held      bodyMemory
 	settings  garnettide.Settings
 	idleFor   time.Duration
 	maxConns  int
@@ -132,7 +132,7 @@
 var _ garnettide.Host = (*loop)(nil)
 
 func newLoop(ctx context.Context, c *Config) *loop {
-	l := &loop{ctx: ctx, events: make(chan event, 1024), lists: make(chan listed, 4), calls: make(chan called, adminConns), logs: make(chan string, logQueue),
+	l := &loop{ctx: ctx, events: make(chan event, 1024), lists: make(chan listed, 4), calls: make(chan adminLoopCall, adminConns), logs: make(chan string, logQueue),
 		origin: time.Now(), dial: dialer{open: net.DialTimeout, timeout: c.Links.ConnectTimeout}, settings: c.Plan.Settings(),
 		idleFor: idleFor(c.Links), maxConns: c.upstreamConns(),
 		names: newNames(), requests: map[garnettide.RequestID]*request{}, open: map[string]bool{},
@@ -141,7 +141,7 @@
 	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
 	// is, also from before this process, and a clock that is set does not move it.
 	l.epoch = time.Duration(l.origin.UnixNano())
-	l.held.room.Store(c.held())
+	l.held.available.Store(c.held())
 	l.dial.now, l.dial.held = l.now, &l.held
 	l.dial.begin = func(a *attempt, r *relay, load garnettide.Load) { l.post(begun{a, r, load}) }
 	l.discovery = newDiscovery(ctx, c.Discovery, l.list)
@@ -255,8 +255,8 @@
 	r := e.request
 	if l.open[r.name] { // an upstream could not tell the two apart: the newcomer goes, the first is spared
 		r.closed = true
-		l.held.give(r.message.body)
-		r.reply <- answer{status: http.StatusConflict}
+		l.held.free(r.message.body)
+		r.reply <- clientResponse{status: http.StatusConflict}
 		return
 	}
 	l.open[r.name] = true
@@ -336,7 +336,7 @@
 		return
 	}
 	a.begun = true
-	l.answer(r, answer{status: http.StatusOK, kind: e.header.Get("Content-Type"), relay: e.relay})
+	l.answer(r, clientResponse{status: http.StatusOK, contentType: e.header.Get("Content-Type"), relay: e.relay})
 	now := l.now()
 	l.balancer.ResponseStarted(now, garnettide.Outcome{ID: r.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
 		Status: garnettide.OK, RequestDone: true, Load: e.load})
@@ -371,14 +371,14 @@
 	a.told = true
 	q, now := a.req, l.now()
 	if r.status == garnettide.OK && !q.closed {
-		l.answer(q, answer{status: http.StatusOK, body: r.body, kind: r.kind})
+		l.answer(q, clientResponse{status: http.StatusOK, body: r.body, contentType: r.kind})
 	}
 	q.out--
 	a.neverRan = r.status.NeverRan()
 	closed := q.closed
 	l.release(q)
 	l.balancer.Outcome(now, garnettide.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: r.status, RequestDone: closed, BodyConsumed: q.message.rest != nil && q.message.rest.taken.Load(), Load: r.load})
+		Status: r.status, RequestDone: closed, BodyConsumed: q.message.rest != nil && q.message.rest.started.Load(), Load: r.load})
 }
 
 // settle tells the outcomes that came up while the module was calling.
@@ -419,7 +419,7 @@
 }
 
 // answer gives a client the one answer.
-func (l *loop) answer(r *request, a answer) {
+func (l *loop) answer(r *request, a clientResponse) {
 	if !r.closed {
 		l.close(r)
 		r.reply <- a
@@ -442,7 +442,7 @@
 func (l *loop) release(r *request) {
 	if r.closed && r.out == 0 {
 		if _, held := l.requests[r.ID]; held {
-			l.held.give(r.message.body)
+			l.held.free(r.message.body)
 		}
 		delete(l.requests, r.ID)
 		delete(l.open, r.name)
@@ -518,7 +518,7 @@
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
 		}
-		l.answer(r, answer{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
+		l.answer(r, clientResponse{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
 	}
 }
 
@@ -529,7 +529,7 @@
 		if !r.coming && l.now() >= r.deadline {
 			status = http.StatusGatewayTimeout
 		}
-		l.answer(r, answer{status: status})
+		l.answer(r, clientResponse{status: status})
 	}
 }
 
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -37,11 +37,11 @@
 }
 
 // ask sends a request and turns the loop until it is answered and its attempts are over.
-func (h *hand) ask(name string, budget time.Duration) answer {
+func (h *hand) ask(name string, budget time.Duration) clientResponse {
 	h.t.Helper()
-	r := &request{name: name, at: h.now(), reply: make(chan answer, 1)}
+	r := &request{name: name, at: h.now(), reply: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", budget
-	r.message = message{line: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
+	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
 	arrived{r}.apply(h.loop)
 	h.settle()
 	for len(h.requests) > 0 || h.busy() {
@@ -158,9 +158,9 @@
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
 	h := newHand(t)
 	h.list(20, up("s-00000001", s))
-	r := &request{name: "1", at: h.now(), reply: make(chan answer, 1)}
+	r := &request{name: "1", at: h.now(), reply: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
-	r.message = message{line: "POST /checkin", host: "x", header: http.Header{}}
+	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
 	arrived{r}.apply(h.loop)
 	h.settle()
 	<-s.arrivals
@@ -209,9 +209,9 @@
 
 // begin hands the loop a request and does not wait for its end.
 func (h *hand) begin(class, name string, budget time.Duration) *request {
-	r := &request{name: name, at: h.now(), reply: make(chan answer, 1)}
+	r := &request{name: name, at: h.now(), reply: make(chan clientResponse, 1)}
 	r.Class, r.Budget = class, budget
-	r.message = message{line: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
+	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
 	arrived{r}.apply(h.loop)
 	h.settle()
 	return r
@@ -221,7 +221,7 @@
 // the module gives it up, as its time runs out or as its client leaves is never written once the connection is up.
 func TestNothingIsSentOnceARequestIsOver(t *testing.T) {
 	for name, end := range map[string]func(h *hand, r *request){
-		"answered": func(h *hand, r *request) { h.answer(r, answer{status: http.StatusOK}) },
+		"answered": func(h *hand, r *request) { h.answer(r, clientResponse{status: http.StatusOK}) },
 		"given up": func(h *hand, r *request) { h.Refuse(r.ID, 0) },
 		"out of time": func(h *hand, r *request) {
 			for !r.closed {
@@ -351,9 +351,9 @@
 			h.list(20, one)
 			h.lists <- listed{from: h.discovery, listing: listing{Revision: 21}}
 			h.lists <- listed{from: h.discovery, listing: listing{Revision: 22, Members: []member{draining(one)}}}
-			r := &request{name: "1", at: h.now(), reply: make(chan answer, 1)}
+			r := &request{name: "1", at: h.now(), reply: make(chan clientResponse, 1)}
 			r.Class, r.Budget = "checkin", time.Second
-			r.message = message{line: "POST /checkin", host: "x", header: http.Header{}}
+			r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
 			turn(h, r)
 			want(t, "attempts", len(r.attempts), 0)
 		})
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -24,39 +24,39 @@
 // without a length as whole wherever it ends. Fields are parsed by net/textproto.
 
 const (
-	maxHead    = 16 << 10 // bytes of a head; an answer's interim ones count with it
-	maxInterim = 16       // 1xx answers ahead of one answer
+	maxHeadBytes        = 16 << 10 // bytes of a head; an answer's interim ones count with it
+	maxInterimResponses = 16       // 1xx answers ahead of one answer
 	// maxBody is held of a body at most, and only what is held whole can be sent again. maxStream bounds bodies that
 	// pass in pieces, each of the size of pieceSize: large enough to cost few calls, small enough for hundreds.
-	maxBody   = 64 << 10
-	maxStream = 32 << 20
-	pieceSize = 16 << 10
-	leastHeld = 1 << 10
+	maxBufferedBody = 64 << 10
+	maxBodyBytes    = 32 << 20
+	bodyBufferSize  = 16 << 10
+	minBodyBuffer   = 1 << 10
 )
 
 var (
-	errHead  = errors.New("a head that can't be read")
-	errLong  = errors.New("a head over the bound")
-	errFrame = errors.New("framing that is not certain")
-	errLarge = errors.New("a body over the bound")
+	errMalformedHead    = errors.New("a head that can't be read")
+	errHeadTooLong      = errors.New("a head over the bound")
+	errAmbiguousFraming = errors.New("framing that is not certain")
+	errResponseTooLarge = errors.New("a body over the bound")
 )
 
 // stream is a connection from which messages are read, each within its bounds.
-type stream struct {
+type httpConn struct {
 	net.Conn
-	in    *bufio.Reader
-	text  *textproto.Reader
-	bound io.LimitedReader // what may still be read off the connection
+	reader     *bufio.Reader
+	textReader *textproto.Reader
+	readLimit  io.LimitedReader // what may still be read off the connection
 }
 
 // source is where a connection's bytes come from. The system tells only once that a connection was reset, and whoever
 // reads on finds a plain end, which would end an answer of no length. So what ended the reading stays.
-type source struct {
+type stickyErrorConn struct {
 	net.Conn
 	err error
 }
 
-func (s *source) Read(b []byte) (int, error) {
+func (s *stickyErrorConn) Read(b []byte) (int, error) {
 	if s.err != nil {
 		return 0, s.err
 	}
@@ -67,45 +67,45 @@
 	return n, err
 }
 
-func newStream(c net.Conn, buffer int) *stream {
-	s := &stream{Conn: c}
-	s.bound.R = &source{Conn: c}
-	s.in = bufio.NewReaderSize(&s.bound, buffer)
-	s.text = textproto.NewReader(s.in)
+func newHTTPConn(c net.Conn, buffer int) *httpConn {
+	s := &httpConn{Conn: c}
+	s.readLimit.R = &stickyErrorConn{Conn: c}
+	s.reader = bufio.NewReaderSize(&s.readLimit, buffer)
+	s.textReader = textproto.NewReader(s.reader)
 	return s
 }
 
 // head reads a first line and the fields behind it. The caller sets the bound.
-func (s *stream) head() (string, textproto.MIMEHeader, error) {
-	line, err := s.text.ReadLine()
+func (s *httpConn) readHead() (string, textproto.MIMEHeader, error) {
+	line, err := s.textReader.ReadLine()
 	if err != nil {
-		return "", nil, s.failed(err)
+		return "", nil, s.readError(err)
 	}
-	h, err := s.text.ReadMIMEHeader()
+	h, err := s.textReader.ReadMIMEHeader()
 	if err != nil {
-		return "", nil, s.failed(err)
+		return "", nil, s.readError(err)
 	}
 	for name := range h {
 		if strings.Contains(name, " ") { // textproto lets "Content-Length :" pass, the other side may read it as one
-			return "", nil, errHead
+			return "", nil, errMalformedHead
 		}
 	}
 	return line, h, nil
 }
 
 // failed tells a bound reached and a text that can't be read from a connection that broke.
-func (s *stream) failed(err error) error {
-	if s.bound.N <= 0 {
-		return errLong
+func (s *httpConn) readError(err error) error {
+	if s.readLimit.N <= 0 {
+		return errHeadTooLong
 	}
 	if wrong := textproto.ProtocolError(""); errors.As(err, &wrong) {
-		return fmt.Errorf("%w: %v", errHead, wrong)
+		return fmt.Errorf("%w: %v", errMalformedHead, wrong)
 	}
 	return err
 }
 
 // digits reads a number that is written in digits and nothing else: no sign, no blanks.
-func digits(text string) (uint64, bool) {
+func parseDigits(text string) (uint64, bool) {
 	if text == "" || strings.Trim(text, "0123456789") != "" {
 		return 0, false
 	}
@@ -117,18 +117,18 @@
 // the connection: who reads them bounds what is kept.
 
 // sized is a body of a stated length.
-type sized struct {
-	s    *stream
-	left int64
+type sizedBody struct {
+	conn      *httpConn
+	remaining int64
 }
 
-func (b *sized) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *sizedBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	b.s.bound.N = math.MaxInt64
-	n, err := b.s.in.Read(p[:min(int64(len(p)), b.left)])
-	if b.left -= int64(n); b.left == 0 {
+	b.conn.readLimit.N = math.MaxInt64
+	n, err := b.conn.reader.Read(p[:min(int64(len(p)), b.remaining)])
+	if b.remaining -= int64(n); b.remaining == 0 {
 		return n, io.EOF
 	} else if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -137,61 +137,63 @@
 }
 
 // chunked is a body in chunks. Its trailer is read and dropped, as a recipient may.
-type chunked struct {
-	s     *stream
-	parts io.Reader
+type chunkedBody struct {
+	conn    *httpConn
+	decoder io.Reader
 }
 
-func (s *stream) chunks() *chunked { return &chunked{s, httputil.NewChunkedReader(s.in)} }
+func (s *httpConn) newChunkedBody() *chunkedBody {
+	return &chunkedBody{s, httputil.NewChunkedReader(s.reader)}
+}
 
-func (b *chunked) Read(p []byte) (int, error) {
-	b.s.bound.N = math.MaxInt64
-	n, err := b.parts.Read(p)
+func (b *chunkedBody) Read(p []byte) (int, error) {
+	b.conn.readLimit.N = math.MaxInt64
+	n, err := b.decoder.Read(p)
 	if err == nil || errors.Is(err, io.ErrUnexpectedEOF) {
 		return n, err
-	} else if broken := net.Error(nil); errors.As(err, &broken) {
+	} else if netErr := net.Error(nil); errors.As(err, &netErr) {
 		return n, err
 	} else if err != io.EOF {
-		return n, errFrame
+		return n, errAmbiguousFraming
 	}
-	b.s.bound.N = maxHead
-	if _, err := b.s.text.ReadMIMEHeader(); errors.Is(err, io.EOF) {
+	b.conn.readLimit.N = maxHeadBytes
+	if _, err := b.conn.textReader.ReadMIMEHeader(); errors.Is(err, io.EOF) {
 		return n, io.ErrUnexpectedEOF
 	} else if err != nil {
-		return n, b.s.failed(err)
+		return n, b.conn.readError(err)
 	}
 	return n, io.EOF
 }
 
 // toEnd is a body that ends with the connection.
-type toEnd struct{ s *stream }
+type untilCloseBody struct{ conn *httpConn }
 
-func (b toEnd) Read(p []byte) (int, error) {
-	b.s.bound.N = math.MaxInt64
-	return b.s.in.Read(p)
+func (b untilCloseBody) Read(p []byte) (int, error) {
+	b.conn.readLimit.N = math.MaxInt64
+	return b.conn.reader.Read(p)
 }
 
 // holder bounds what is held of bodies, over all connections.
-type holder struct{ room atomic.Int64 }
+type bodyMemory struct{ available atomic.Int64 }
 
-func (h *holder) take(n int) bool {
-	if h.room.Add(-int64(n)) >= 0 {
+func (h *bodyMemory) reserve(n int) bool {
+	if h.available.Add(-int64(n)) >= 0 {
 		return true
 	}
-	h.room.Add(int64(n))
+	h.available.Add(int64(n))
 	return false
 }
 
 // give returns the room of a buffer that gather has made.
-func (h *holder) give(b []byte) { h.room.Add(int64(cap(b))) }
+func (h *bodyMemory) free(b []byte) { h.available.Add(int64(cap(b))) }
 
 // gather reads a body into a buffer: all of it, which is whole then, or as much as fits, or as long as more says so.
 // Memory grows with what comes, not with what was claimed.
-func (h *holder) gather(body io.Reader, more func() bool) (b []byte, whole bool, err error) {
+func (h *bodyMemory) collect(body io.Reader, more func() bool) (b []byte, complete bool, err error) {
 	for more() {
 		if len(b) == cap(b) {
-			grown := max(2*cap(b), leastHeld)
-			if grown > maxBody || !h.take(grown-cap(b)) {
+			grown := max(2*cap(b), minBodyBuffer)
+			if grown > maxBufferedBody || !h.reserve(grown-cap(b)) {
 				break
 			}
 			b = append(make([]byte, 0, grown), b...)
@@ -200,7 +202,7 @@
 		if b = b[:len(b)+n]; err == io.EOF {
 			return b, true, nil
 		} else if err != nil {
-			h.give(b)
+			h.free(b)
 			return nil, false, err
 		}
 	}
@@ -210,54 +212,54 @@
 func always() bool { return true }
 
 // reply is the head of an upstream's answer, and its body, which is still to be read.
-type reply struct {
-	status int
-	header textproto.MIMEHeader
-	body   io.Reader
-	length int64 // of the body; -1 where only its end will tell
-	ends   bool  // the connection ends with it
+type upstreamResponse struct {
+	status     int
+	header     textproto.MIMEHeader
+	body       io.Reader
+	length     int64 // of the body; -1 where only its end will tell
+	closeAfter bool  // the connection ends with it
 }
 
 // reply reads the head of an upstream's answer. Without an error it is certain where the answer ends.
-func (s *stream) reply() (reply, error) {
-	s.bound.N = maxHead
-	for range maxInterim + 1 {
-		line, h, err := s.head()
+func (s *httpConn) readResponse() (upstreamResponse, error) {
+	s.readLimit.N = maxHeadBytes
+	for range maxInterimResponses + 1 {
+		line, h, err := s.readHead()
 		if err != nil {
-			return reply{}, err
+			return upstreamResponse{}, err
 		}
-		code, ok := strings.CutPrefix(line, "HTTP/1.1 ")
-		code, _, _ = strings.Cut(code, " ")
-		status, isNumber := digits(code)
-		if !ok || !isNumber || len(code) != 3 || status < 100 || status == http.StatusSwitchingProtocols {
-			return reply{}, errHead // nobody asked for another protocol
+		statusText, ok := strings.CutPrefix(line, "HTTP/1.1 ")
+		statusText, _, _ = strings.Cut(statusText, " ")
+		status, isNumber := parseDigits(statusText)
+		if !ok || !isNumber || len(statusText) != 3 || status < 100 || status == http.StatusSwitchingProtocols {
+			return upstreamResponse{}, errMalformedHead // nobody asked for another protocol
 		}
 		if status < http.StatusOK {
 			continue
 		}
-		r := reply{status: int(status), header: h, length: -1, ends: closes(h)}
-		te, cl := h["Transfer-Encoding"], h["Content-Length"]
-		switch n, isLength := digits(strings.Join(cl, ",")); {
+		r := upstreamResponse{status: int(status), header: h, length: -1, closeAfter: wantsClose(h)}
+		encodings, lengths := h["Transfer-Encoding"], h["Content-Length"]
+		switch n, isLength := parseDigits(strings.Join(lengths, ",")); {
 		case status == http.StatusNoContent || status == http.StatusNotModified: // whatever its fields say
-			r.body, r.length = &sized{s, 0}, 0
-		case len(te) == 1 && len(cl) == 0 && strings.EqualFold(te[0], "chunked"):
-			r.body = s.chunks()
-		case len(te) == 0 && isLength && n > maxStream:
-			return reply{}, errLarge
-		case len(te) == 0 && isLength:
-			r.body, r.length = &sized{s, int64(n)}, int64(n)
-		case len(te) == 0 && len(cl) == 0:
-			r.body, r.ends = toEnd{s}, true
+			r.body, r.length = &sizedBody{s, 0}, 0
+		case len(encodings) == 1 && len(lengths) == 0 && strings.EqualFold(encodings[0], "chunked"):
+			r.body = s.newChunkedBody()
+		case len(encodings) == 0 && isLength && n > maxBodyBytes:
+			return upstreamResponse{}, errResponseTooLarge
+		case len(encodings) == 0 && isLength:
+			r.body, r.length = &sizedBody{s, int64(n)}, int64(n)
+		case len(encodings) == 0 && len(lengths) == 0:
+			r.body, r.closeAfter = untilCloseBody{s}, true
 		default: // two lengths, or both framings: nobody can tell where it ends
-			return reply{}, errFrame
+			return upstreamResponse{}, errAmbiguousFraming
 		}
 		return r, nil
 	}
-	return reply{}, errLong
+	return upstreamResponse{}, errHeadTooLong
 }
 
 // closes tells whether the other side wants the connection closed behind this message.
-func closes(h textproto.MIMEHeader) bool {
+func wantsClose(h textproto.MIMEHeader) bool {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(name), "close") {
@@ -269,35 +271,35 @@
 }
 
 // notEndToEnd names what belongs to one connection, and what is written anew.
-var notEndToEnd = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
+var headersNotForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true,
 	"Host": true, "X-Deadline-Ms": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // pieces are the buffers in which bodies pass. Before and behind the piece is room for the framing of a chunk.
-var pieces = sync.Pool{New: func() any { return new(piece) }}
+var bodyBuffers = sync.Pool{New: func() any { return new(bodyBuffer) }}
 
 const (
-	chunkHead = 8 // hexadecimal digits of a piece's size, and a line's end
-	chunkTail = 2
+	chunkHeadSize = 8 // hexadecimal digits of a piece's size, and a line's end
+	chunkTailSize = 2
 )
 
-type piece [chunkHead + pieceSize + chunkTail]byte
+type bodyBuffer [chunkHeadSize + bodyBufferSize + chunkTailSize]byte
 
 // space is where a body's piece goes.
-func (p *piece) space() []byte { return p[chunkHead : chunkHead+pieceSize] }
+func (p *bodyBuffer) data() []byte { return p[chunkHeadSize : chunkHeadSize+bodyBufferSize] }
 
 // framed returns n bytes of the piece as they go on the wire.
-func (p *piece) framed(n int, inChunks bool) []byte {
-	if !inChunks || n == 0 { // an empty chunk would end the body
-		return p[chunkHead : chunkHead+n]
+func (p *bodyBuffer) framed(n int, chunked bool) []byte {
+	if !chunked || n == 0 { // an empty chunk would end the body
+		return p[chunkHeadSize : chunkHeadSize+n]
 	}
 	head := strconv.AppendInt(nil, int64(n), 16)
 	head = append(head, "\r\n"...)
-	copy(p[chunkHead-len(head):], head)
-	copy(p[chunkHead+n:], "\r\n")
-	return p[chunkHead-len(head) : chunkHead+n+chunkTail]
+	copy(p[chunkHeadSize-len(head):], head)
+	copy(p[chunkHeadSize+n:], "\r\n")
+	return p[chunkHeadSize-len(head) : chunkHeadSize+n+chunkTailSize]
 }
 
 // lastChunk ends a body in chunks.
@@ -306,32 +308,32 @@
 // message is the client's request as an upstream gets it, but for the first lines that are written for each attempt.
 // Method, path, query and body go on unchanged.
 type message struct {
-	line   string // method and target
-	header http.Header
-	host   string
-	body   []byte  // as far as it is held
-	rest   *upload // what is not; nil: nothing
+	methodAndTarget string // method and target
+	header          http.Header
+	host            string
+	body            []byte  // as far as it is held
+	rest            *upload // what is not; nil: nothing
 }
 
 // bytes renders m for an attempt that waits so long: in one piece where it is small, or without its body, which goes
 // behind it.
-func (m *message) bytes(wait time.Duration) (head, tail []byte) {
-	b := buffers.Get().(*bytes.Buffer)
-	defer buffers.Put(b)
+func (m *message) bytes(timeout time.Duration) (head, tail []byte) {
+	b := headBuffers.Get().(*bytes.Buffer)
+	defer headBuffers.Put(b)
 	b.Reset()
-	b.WriteString(m.line)
+	b.WriteString(m.methodAndTarget)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(m.host)
 	b.WriteString("\r\nX-Deadline-Ms: ")
-	b.WriteString(strconv.FormatInt(max(1, wait.Milliseconds()), 10))
+	b.WriteString(strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
 	b.WriteString("\r\n")
-	m.header.WriteSubset(b, notEndToEnd) // a buffer takes all
+	m.header.WriteSubset(b, headersNotForwarded) // a buffer takes all
 	switch {
 	case m.rest != nil && m.rest.length < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	case m.rest != nil:
 		fmt.Fprintf(b, "Content-Length: %d\r\n", m.rest.length)
-	case len(m.body) > 0 || strings.HasPrefix(m.line, http.MethodPost):
+	case len(m.body) > 0 || strings.HasPrefix(m.methodAndTarget, http.MethodPost):
 		fmt.Fprintf(b, "Content-Length: %d\r\n", len(m.body))
 	}
 	b.WriteString("\r\n")
@@ -339,7 +341,7 @@
 	case m.rest != nil && m.rest.length < 0 && len(m.body) > 0:
 		fmt.Fprintf(b, "%x\r\n", len(m.body))
 		tail = m.body
-	case len(m.body) <= pieceSize:
+	case len(m.body) <= bodyBufferSize:
 		b.Write(m.body)
 	default:
 		tail = m.body
@@ -350,47 +352,47 @@
 // upload is the part of a request's body that is not held. The client's side puts it into a pipe that one attempt reads,
 // so that the client is read no faster than the upstream reads.
 type upload struct {
-	body   io.Reader // off the client's connection
-	length int64     // of the whole body; -1: chunks
-	in     *io.PipeReader
-	out    *io.PipeWriter
-	client net.Conn
-	taken  atomic.Bool // an attempt has begun to read it: no other one can
-	came   bool        // the client's side: its last byte has come
-	failed atomic.Pointer[error]
+	body     io.Reader // off the client's connection
+	length   int64     // of the whole body; -1: chunks
+	reader   *io.PipeReader
+	writer   *io.PipeWriter
+	client   net.Conn
+	started  atomic.Bool // an attempt has begun to read it: no other one can
+	complete bool        // the client's side: its last byte has come
+	failure  atomic.Pointer[error]
 }
 
 // fail ends the body for the attempt that reads it, by a fault of the client's.
 func (u *upload) fail(err error) {
-	u.failed.Store(&err)
-	u.out.CloseWithError(err)
+	u.failure.Store(&err)
+	u.writer.CloseWithError(err)
 }
 
 // fault returns the fault of the client's that has ended the body; nil: none, as with nothing to upload.
-func (u *upload) fault() error {
+func (u *upload) clientErr() error {
 	if u == nil {
 		return nil
 	}
-	if err := u.failed.Load(); err != nil {
+	if err := u.failure.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
 // errUnread is what the client's side gets when nobody wants the rest of a body.
-var errUnread = errors.New("the rest of the body is not wanted")
+var errBodyUnwanted = errors.New("the rest of the body is not wanted")
 
 // errHungUp is what the client's side gets when the client has closed its connection behind bytes that nobody has read.
-var errHungUp = errors.New("the client has closed its connection")
+var errClientClosed = errors.New("the client has closed its connection")
 
 // abandoned tells whether the client has gone, and if so ends the client's side. Reading does not show it while bytes of
 // the body come first, and these are not read until an attempt takes them. The system tells of the close without reading,
 // but for one that waits behind more than the receive buffer takes.
-func (u *upload) abandoned() bool {
-	if !hungUp(u.client) {
+func (u *upload) clientClosed() bool {
+	if !closedByPeer(u.client) {
 		return false
 	}
-	u.in.CloseWithError(errHungUp)
+	u.reader.CloseWithError(errClientClosed)
 	return true
 }
 
@@ -402,7 +404,7 @@
 )
 
 // hungUp looks, without waiting or reading, whether the other side has closed or reset a connection.
-func hungUp(c net.Conn) bool {
+func closedByPeer(c net.Conn) bool {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
@@ -418,4 +420,4 @@
 }
 
 // end tells the client's side that the rest is not wanted. After the last byte it has no effect.
-func (u *upload) end() { u.in.CloseWithError(errUnread) }
+func (u *upload) cancel() { u.reader.CloseWithError(errBodyUnwanted) }
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -21,9 +21,9 @@
 func (s said) Write(b []byte) (int, error)     { return len(b), nil }
 func (s said) SetReadDeadline(time.Time) error { return nil }
 
-func newHolder() *holder {
-	h := new(holder)
-	h.room.Store(64 << 20)
+func newHolder() *bodyMemory {
+	h := new(bodyMemory)
+	h.available.Store(64 << 20)
 	return h
 }
 
@@ -38,8 +38,8 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s := newStream(said{Reader: bytes.NewReader(text)}, 2<<10)
-		m, err := s.reply()
+		s := newHTTPConn(said{Reader: bytes.NewReader(text)}, 2<<10)
+		m, err := s.readResponse()
 		if err != nil {
 			return
 		}
@@ -80,15 +80,15 @@
 	} {
 		f.Add([]byte(text))
 	}
-	fe := &frontend{now: func() time.Duration { return 0 }, held: newHolder()}
+	fe := &frontend{now: func() time.Duration { return 0 }, memory: newHolder()}
 	fe.plan.Store(configOf(f, "127.0.0.1:8500", nil, `"name":"read","target_us":2000000,"give_up_us":4000000`,
 		`"name":"read","target_us":1000000,"give_up_us":1000000`, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 		`"name":"checkin","target_us":1000000,"give_up_us":1000000`).Plan)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		pace := &pacer{Conn: said{Reader: bytes.NewReader(text)}}
-		c := &client{stream: newStream(pace, 4<<10), pace: pace}
-		c.bound.N = maxHead
-		q, _, err := fe.read(c)
+		pace := &timedConn{Conn: said{Reader: bytes.NewReader(text)}}
+		c := &client{httpConn: newHTTPConn(pace, 4<<10), timed: pace}
+		c.readLimit.N = maxHeadBytes
+		q, _, err := fe.readRequest(c)
 		if err != nil || q == nil {
 			return
 		}
@@ -106,7 +106,7 @@
 		if err != nil || !bytes.Equal(body, q.message.body) || in.Buffered() > 0 || len(r.TransferEncoding) > 0 {
 			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more", passed, body, err, in.Buffered())
 		}
-		if r.Header.Get("X-Request-Id") != q.name || !strings.HasPrefix(q.message.line, r.Method+" "+r.RequestURI) {
+		if r.Header.Get("X-Request-Id") != q.name || !strings.HasPrefix(q.message.methodAndTarget, r.Method+" "+r.RequestURI) {
 			t.Errorf("passed on %q", passed)
 		}
 	})
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -114,7 +114,7 @@
 	}
 	start := time.Now()
 	want(t, "ready, beside callers who say nothing", b.call(t, "GET", "/control/ready"), 200)
-	if took := time.Since(start); took > callWait/2 {
+	if took := time.Since(start); took > adminCallTimeout/2 {
 		t.Errorf("the call took %v", took)
 	}
 	for _, c := range silent {
@@ -183,7 +183,7 @@
 			t.Errorf("a connection that holds nothing: %v", err)
 		}
 	}
-	if took := time.Since(start); took < lameDuck || took > 4*time.Second {
+	if took := time.Since(start); took < acceptGracePeriod || took > 4*time.Second {
 		t.Errorf("connections that hold nothing were closed after %v", took)
 	}
 	close(hold)
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -17,22 +17,22 @@
 		status int
 		fault  error
 	}{
-		"refused first":       {false, http.StatusServiceUnavailable, errTooLarge},
-		"both":                {true, http.StatusServiceUnavailable, errTooLarge},
-		"failed first":        {false, http.StatusBadGateway, errTooLarge},
+		"refused first":       {false, http.StatusServiceUnavailable, errRequestTooLarge},
+		"both":                {true, http.StatusServiceUnavailable, errRequestTooLarge},
+		"failed first":        {false, http.StatusBadGateway, errRequestTooLarge},
 		"served all the same": {false, http.StatusOK, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 20 { // a select takes one of two at random
 				rest := &upload{}
-				rest.in, rest.out = io.Pipe()
-				w := &watcher{q: &request{reply: make(chan answer, 1), message: message{rest: rest}}, ended: make(chan error, 1)}
-				rest.fail(errTooLarge)
-				w.q.reply <- answer{status: c.status}
+				rest.reader, rest.writer = io.Pipe()
+				w := &clientWatcher{req: &request{reply: make(chan clientResponse, 1), message: message{rest: rest}}, readDone: make(chan error, 1)}
+				rest.fail(errRequestTooLarge)
+				w.req.reply <- clientResponse{status: c.status}
 				if c.told {
-					w.ended <- errTooLarge
+					w.readDone <- errRequestTooLarge
 				}
-				if a, err := w.await(); !errors.Is(err, c.fault) || (err == nil && a.status != c.status) {
+				if a, err := w.awaitResponse(); !errors.Is(err, c.fault) || (err == nil && a.status != c.status) {
 					t.Fatalf("status %d, error %v", a.status, err)
 				}
 			}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -15,7 +15,7 @@
 func run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload, made func(*loop)) error {
 	life, end := context.WithCancel(context.Background())
 	defer end()
-	operators, err := listenForOperators(c.Operator)
+	operators, err := listenAdmin(c.Operator)
 	if err != nil {
 		return err
 	}
@@ -23,13 +23,13 @@
 	made(l)
 	f := newFrontend(&c, listener, l)
 	var b *stateFile
-	var held orders
+	var held operatorOrders
 	if operators != nil { // who can be given no orders keeps none
 		if b, err = openStateFile(&c); err != nil {
 			return err
 		}
 		defer b.close()
-		held = *b.held.Load()
+		held = *b.current.Load()
 	}
 	l.start(&c, held.Offline)
 	c.Plan, c.Known = nil, listing{} // others hold what is in force
@@ -39,10 +39,10 @@
 	served := make(chan error, 2)
 	if operators != nil {
 		d := newAdminServer(l, f, b)
-		defer d.end()
+		defer d.stop()
 		go func() { served <- d.serve(operators) }()
 		if b.shared {
-			go d.follow(life, &c, began)
+			go d.followOrders(life, &c, began)
 		} else {
 			close(began)
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -270,7 +270,7 @@
 				if class == "pay" {
 					h.Set("Idempotency-Key", "1")
 				}
-				m := message{line: "POST /x", host: "x", header: h}
+				m := message{methodAndTarget: "POST /x", host: "x", header: h}
 				return d.run(&attempt{req: &request{}, peer: p, address: s.addr, conn: c, message: &m, wait: time.Second})
 			}
 			first := send(nil)
@@ -305,10 +305,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.take(taken)
-		f.gone.Wait()
+		f.startClient(taken)
+		f.clientsDone.Wait()
 		want(t, "requests handed on", len(h.events), 0)
-		want(t, "room given back", h.held.room.Load(), c.held())
+		want(t, "room given back", h.held.available.Load(), c.held())
 	})
 	t.Run("before the loop hears of it", func(t *testing.T) {
 		s := newServer(t, okAll)
@@ -339,13 +339,13 @@
 		t.Fatal(err)
 	}
 	run := func(c *conn) result {
-		m := message{line: "POST /x", host: "x"}
+		m := message{methodAndTarget: "POST /x", host: "x"}
 		return d.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr, conn: c, message: &m, wait: time.Second})
 	}
 	r := run(c)
 	want(t, "first", r.status, garnettide.OK)
 	<-closed
-	if _, err := r.conn.in.Peek(1); err == nil { // the end has come
+	if _, err := r.conn.reader.Peek(1); err == nil { // the end has come
 		t.Fatal("bytes on an idle connection")
 	}
 	want(t, "second", run(r.conn).status, garnettide.OK)
@@ -368,14 +368,14 @@
 		{"served after a 1xx", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.OK, true},
 		{"a second copy behind it", raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), garnettide.OK, false},
 		{"noise behind it", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab?", true), garnettide.OK, false},
-		{"1xx without end", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterim+1), true), garnettide.Error, false},
+		{"1xx without end", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1), true), garnettide.Error, false},
 		{"101", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"a head without end", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHead/10), true), garnettide.Error, false},
-		{"a line without end", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHead), true), garnettide.Error, false},
+		{"a head without end", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
+		{"a line without end", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHeadBytes), true), garnettide.Error, false},
 		{"ended by the connection's end", raw("HTTP/1.1 200 OK\r\n\r\nab", false), garnettide.OK, false},
 		{"no body for 204", raw("HTTP/1.1 204 No Content\r\n\r\n", true), garnettide.Error, true},
 		{"a trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true), garnettide.OK, true},
-		{"a trailer without end", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHead/10), true), garnettide.Error, false},
+		{"a trailer without end", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
 		{"cut short in the trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false), garnettide.Reset, false},
 		{"both framings", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.Error, false},
 		{"two lengths", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
@@ -394,12 +394,12 @@
 		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), garnettide.Reset, false},
 		{"cut short in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), garnettide.Reset, false},
 		{"no HTTP", raw("what?\r\n\r\n", false), garnettide.Error, false},
-		{"over the bound", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxStream+1), true), garnettide.Error, false},
+		{"over the bound", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1), true), garnettide.Error, false},
 		{"an error of many bytes", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), garnettide.Error, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, c.answer)
-			m := message{line: "POST /x", host: "x", body: []byte("b")}
+			m := message{methodAndTarget: "POST /x", host: "x", body: []byte("b")}
 			r := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr, message: &m, wait: time.Second})
 			want(t, "status", any(r.status), c.status)
 			want(t, "kept", r.conn != nil, c.keeps)
@@ -440,7 +440,7 @@
 		c, err := net.DialTimeout(network, address, timeout)
 		return readConn{c, reads}, err
 	}
-	m := message{line: "POST /x", host: "x"}
+	m := message{methodAndTarget: "POST /x", host: "x"}
 	r := dialer{open: open, timeout: time.Second, held: newHolder()}.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr,
 		message: &m, wait: time.Second})
 	want(t, "status", r.status, garnettide.Reset)
@@ -458,7 +458,7 @@
 
 	// What waits for its connection when its request ends or its upstream leaves is not sent any more.
 	s := newServer(t, okAll)
-	a := &attempt{req: &request{}, address: s.addr, message: &message{line: "POST /x", host: "x"}, wait: time.Second}
+	a := &attempt{req: &request{}, address: s.addr, message: &message{methodAndTarget: "POST /x", host: "x"}, wait: time.Second}
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
 	want(t, "status", r.status, garnettide.NotSent)
@@ -485,7 +485,7 @@
 func TestMalformedRequestsStayOutside(t *testing.T) {
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
-	big := strings.Repeat("x", maxStream+1)
+	big := strings.Repeat("x", maxBodyBytes+1)
 	chunkedGet := b.ask("read", "")
 	chunkedGet.Body, chunkedGet.ContentLength = io.NopCloser(strings.NewReader("x")), -1
 	get := b.ask("checkin", "")
@@ -572,7 +572,7 @@
 		{"a deadline of zero", checkin(id + "X-Deadline-Ms: 0\r\nContent-Length: 0\r\n"), "400"},
 		{"a negative deadline", checkin(id + "X-Deadline-Ms: -5\r\nContent-Length: 0\r\n"), "400"},
 		{"two deadlines", checkin(id + "X-Deadline-Ms: 50\r\nX-Deadline-Ms: 60\r\nContent-Length: 0\r\n"), "400"},
-		{"a head without end", checkin(id + strings.Repeat("X-Pad: pppp\r\n", maxHead)), "431"},
+		{"a head without end", checkin(id + strings.Repeat("X-Pad: pppp\r\n", maxHeadBytes)), "431"},
 		{"half a head", "POST /checkin HT", "408"},
 		{"half a body", checkin(id+"Content-Length: 5\r\n") + "ab", "408"},
 		{"nothing", "", ""},
@@ -642,7 +642,7 @@
 		if _, err := io.WriteString(c, text[:min(piece, len(text))]); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(headTime / 8) // a slow line is what is tried
+		time.Sleep(requestHeadTimeout / 8) // a slow line is what is tried
 	}
 	if time.Since(start) < 2*time.Second {
 		t.Fatal("not slow enough to tell")
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -714,7 +714,7 @@
 		}
 		reloaded{x, nil}.apply(l)
 		for k := range 50 { // there is no server: each is refused, and both its class and its tenant have been met
-			q := &request{name: "1", at: l.now(), reply: make(chan answer, 1)}
+			q := &request{name: "1", at: l.now(), reply: make(chan clientResponse, 1)}
 			q.Class, q.Tenant, q.Budget = fmt.Sprintf("c%04d-%03d", i, k), fmt.Sprintf("t%04d-%03d", i, 10*k), time.Millisecond
 			arrived{q}.apply(l)
 			l.settle()
@@ -944,7 +944,7 @@
 					if _, err := c.Read(p[:1]); err != nil {
 						return
 					}
-					t := make(turn)
+					t := make(loopLivenessCheck)
 					l.post(t)
 					<-t
 					select {
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -90,11 +90,11 @@
 		u.serve = echoBodies
 		v.tell(50, u.member("s-00000001"))
 		synctest.Wait()
-		room := v.held.room.Load()
+		room := v.held.available.Load()
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 			return v.meet(), nil
 		}}}
-		for _, n := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, 3*maxBody + 7, maxStream} {
+		for _, n := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
 			for _, form := range []string{"", "1"} {
 				body := text(n)
 				q, err := http.NewRequest(http.MethodPost, "http://x/checkin", bytes.NewReader(body))
@@ -120,7 +120,7 @@
 			}
 		}
 		synctest.Wait()
-		want(t, "what was held is given back", v.held.room.Load(), room)
+		want(t, "what was held is given back", v.held.available.Load(), room)
 		client.CloseIdleConnections()
 		v.rest()
 	})
@@ -135,7 +135,7 @@
 	io.WriteString(c, checkin("X-Request-Id: 1\r\nTransfer-Encoding: chunked\r\n"))
 	go func() {
 		chunk := fmt.Sprintf("%x\r\n%s\r\n", 1<<20, text(1<<20))
-		for range maxStream>>20 + 1 {
+		for range maxBodyBytes>>20 + 1 {
 			if _, err := io.WriteString(c, chunk); err != nil {
 				return
 			}
@@ -202,7 +202,7 @@
 	t.Parallel()
 	next := make(chan struct{})
 	for form, c := range map[string]struct{ head, first, rest string }{
-		"length": {fmt.Sprintf("Content-Length: %d\r\n", maxBody+10), "0123456789", strings.Repeat("x", maxBody)},
+		"length": {fmt.Sprintf("Content-Length: %d\r\n", maxBufferedBody+10), "0123456789", strings.Repeat("x", maxBufferedBody)},
 		"chunks": {"Transfer-Encoding: chunked\r\n", "a\r\n0123456789\r\n", "1\r\nx\r\n0\r\n\r\n"},
 		"end":    {"", "0123456789", "x"},
 	} {
@@ -234,9 +234,9 @@
 
 // loopSays asks on the loop.
 func (b *balancer) loopSays(so func(*loop) bool) bool {
-	e := called{done: make(chan struct{})}
+	e := adminLoopCall{done: make(chan struct{})}
 	var yes bool
-	e.do = func(l *loop) { yes = so(l) }
+	e.fn = func(l *loop) { yes = so(l) }
 	b.loop.calls <- e
 	<-e.done
 	return yes
@@ -245,10 +245,10 @@
 // An answer that breaks off is never ended as if it were whole.
 func TestBrokenAnswerIsNotWhole(t *testing.T) {
 	t.Parallel()
-	for form, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBody), "chunks": "Transfer-Encoding: chunked\r\n",
+	for form, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBufferedBody), "chunks": "Transfer-Encoding: chunked\r\n",
 		"reset": ""} {
 		s := newServer(t, func(c net.Conn, _ *http.Request) bool {
-			body := string(text(2 * maxBody))
+			body := string(text(2 * maxBufferedBody))
 			if form == "chunks" {
 				body = fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 			}
@@ -309,9 +309,9 @@
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
 	for form, c := range map[string]struct{ text, status string }{
-		"length": {checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBody)) + string(text(2*maxBody)), "408"},
-		"chunks": {checkin("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBody, text(2*maxBody)), "408"},
-		"noise":  {checkin("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBody, text(2*maxBody)), "400"},
+		"length": {checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) + string(text(2*maxBufferedBody)), "408"},
+		"chunks": {checkin("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, text(2*maxBufferedBody)), "408"},
+		"noise":  {checkin("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, text(2*maxBufferedBody)), "400"},
 	} {
 		if got := rawClient(t, b.url, c.text); !strings.HasPrefix(got, "HTTP/1.1 "+c.status) {
 			t.Errorf("%s: got %q", form, got)
@@ -321,7 +321,7 @@
 		return b.loopSays(func(l *loop) bool { return len(l.requests) == 0 && len(l.open) == 0 && l.conns == 0 })
 	})
 	want(t, "requests at the upstream", len(s.arrivals), 0)
-	want(t, "held", b.loop.held.room.Load(), b.config.held())
+	want(t, "held", b.loop.held.available.Load(), b.config.held())
 }
 
 // An upstream that answers before it has the whole body: the client gets that answer and can read it, and the upstream's
@@ -338,8 +338,8 @@
 	})
 	b := newBalancer(t, up("s-00000001", s))
 	l := b.connect(t)
-	io.WriteString(l, checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", maxStream)))
-	go io.Copy(l, io.LimitReader(zeros{}, 4*maxBody)) // and no more: it waits for its answer
+	io.WriteString(l, checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", maxBodyBytes)))
+	go io.Copy(l, io.LimitReader(zeros{}, 4*maxBufferedBody)) // and no more: it waits for its answer
 	resp := l.answer(t)
 	want(t, "status", resp.StatusCode, 503)
 	want(t, "closes", resp.Close, true)
@@ -360,7 +360,7 @@
 			return
 		}
 		began.Add(1)
-		io.CopyN(io.Discard, c, maxBody+maxBody/2)
+		io.CopyN(io.Discard, c, maxBufferedBody+maxBufferedBody/2)
 		c.(*net.TCPConn).SetLinger(0)
 	})
 	b := newBalancer(t, up("s-00000001", breaks))
@@ -376,13 +376,13 @@
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
 	l := b.connect(t)
-	io.WriteString(l, checkin(fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBody)))
+	io.WriteString(l, checkin(fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBufferedBody)))
 	line, _ := l.in.ReadString('\n')
 	want(t, "interim", line, "HTTP/1.1 100 Continue\r\n")
 	l.in.ReadString('\n')
-	l.Write(text(2 * maxBody))
+	l.Write(text(2 * maxBufferedBody))
 	want(t, "status", l.answer(t).StatusCode, 200)
-	got := rawClient(t, b.url, checkin(fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxStream+1)))
+	got := rawClient(t, b.url, checkin(fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxBodyBytes+1)))
 	want(t, "refused", strings.HasPrefix(got, "HTTP/1.1 413"), true)
 }
 
@@ -391,8 +391,8 @@
 	t.Parallel()
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { return ok(c, "done") })
 	b := newBalancer(t, up("s-00000001", s))
-	b.loop.held.room.Store(0)
-	for _, n := range []int{0, 10, maxBody, 2 * maxBody} {
+	b.loop.held.available.Store(0)
+	for _, n := range []int{0, 10, maxBufferedBody, 2 * maxBufferedBody} {
 		status, body := b.do(t, b.ask("checkin", string(text(n))))
 		want(t, "status", status, 200)
 		want(t, "body", body, "done")
@@ -405,23 +405,23 @@
 // A reader whose body breaks off gives back what it held.
 func TestGatherGivesBackOnError(t *testing.T) {
 	h := newHolder()
-	before := h.room.Load()
+	before := h.available.Load()
 	broken := io.MultiReader(bytes.NewReader(text(5000)), errReader{})
-	if _, _, err := h.gather(broken, always); !errors.Is(err, errFrame) {
+	if _, _, err := h.collect(broken, always); !errors.Is(err, errAmbiguousFraming) {
 		t.Error(err)
 	}
-	want(t, "room", h.room.Load(), before)
-	held, whole, err := h.gather(bytes.NewReader(text(maxBody+1)), always)
-	if whole || err != nil || len(held) != maxBody {
+	want(t, "room", h.available.Load(), before)
+	held, whole, err := h.collect(bytes.NewReader(text(maxBufferedBody+1)), always)
+	if whole || err != nil || len(held) != maxBufferedBody {
 		t.Errorf("%d bytes held, whole %v, %v", len(held), whole, err)
 	}
-	h.give(held)
-	want(t, "room", h.room.Load(), before)
+	h.free(held)
+	want(t, "room", h.available.Load(), before)
 }
 
 type errReader struct{}
 
-func (errReader) Read([]byte) (int, error) { return 0, errFrame }
+func (errReader) Read([]byte) (int, error) { return 0, errAmbiguousFraming }
 
 // In a crowd that takes every place a request that comes slowly is served, and who asked once and stays gives way to it.
 func TestSlowWriterOutlastsTheCrowd(t *testing.T) {
@@ -449,7 +449,7 @@
 				io.WriteString(c, "POST /checkin HT")
 			}
 		}
-		time.Sleep(headTime / 20) // a slow line is what is tried
+		time.Sleep(requestHeadTimeout / 20) // a slow line is what is tried
 	}
 	want(t, "status", slow.answer(t).StatusCode, 200)
 }
@@ -458,30 +458,30 @@
 func TestWhoGivesWay(t *testing.T) {
 	now := time.Now()
 	f := &frontend{clients: map[*client]struct{}{}}
-	add := func(at stage, begun bool, since, moved time.Duration) *client {
+	add := func(at clientStage, begun bool, since, moved time.Duration) *client {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		pace := &pacer{Conn: near}
-		pace.moved.Store(now.Add(-moved).UnixNano())
-		c := &client{stream: newStream(pace, 16), pace: pace, stage: at, begun: begun, since: now.Add(-since)}
+		pace := &timedConn{Conn: near}
+		pace.lastRead.Store(now.Add(-moved).UnixNano())
+		c := &client{httpConn: newHTTPConn(pace, 16), timed: pace, stage: at, requestStarted: begun, stageSince: now.Add(-since)}
 		f.clients[c] = struct{}{}
 		return c
 	}
-	served := add(busy, true, time.Hour, time.Hour)
-	fresh := add(silent, false, 0, time.Hour)
+	served := add(clientServing, true, time.Hour, time.Hour)
+	fresh := add(clientReading, false, 0, time.Hour)
 	order := []*client{
-		add(silent, false, 2*mute, time.Hour),
-		add(idle, false, 20*time.Second, 20*time.Second),
-		add(silent, true, 3*time.Second, 2*time.Second),
-		add(idle, false, time.Second, time.Second),
-		add(silent, true, 3*time.Second, 100*time.Millisecond), // slow, and still coming
+		add(clientReading, false, 2*noDataEvictAfter, time.Hour),
+		add(clientIdle, false, 20*time.Second, 20*time.Second),
+		add(clientReading, true, 3*time.Second, 2*time.Second),
+		add(clientIdle, false, time.Second, time.Second),
+		add(clientReading, true, 3*time.Second, 100*time.Millisecond), // slow, and still coming
 	}
 	for i, c := range order {
-		if !f.evict() || c.stage != evicted {
+		if !f.makeRoom() || c.stage != clientEvicted {
 			t.Fatalf("number %d did not give way", i)
 		}
 	}
-	if f.evict() || served.stage != busy || fresh.stage != silent {
+	if f.makeRoom() || served.stage != clientServing || fresh.stage != clientReading {
 		t.Error("one that is served, or that has just come, gave way")
 	}
 }
@@ -513,7 +513,7 @@
 				}
 				b := newBalancer(t, first...)
 				c := b.connect(t)
-				const size = maxBody + 2*pieceSize
+				const size = maxBufferedBody + 2*bodyBufferSize
 				fmt.Fprintf(c, "%s%s", checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", size)), text(size))
 				b.until(t, "the request is open", func() bool {
 					return b.loopSays(func(l *loop) bool { return len(l.open) == 1 })
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -39,7 +39,7 @@
 // conn is a connection to an upstream. It belongs to one attempt or, idle, to the
 // loop; nobody else touches it.
 type conn struct {
-	*stream
+	*httpConn
 	idleAt time.Duration // on the loop's clock
 }
 
@@ -48,7 +48,7 @@
 
 // fresh looks, without waiting, whether an idle connection still stands.
 func (c *conn) fresh() error {
-	if quiet(c.Conn) != nil || c.in.Buffered() > 0 {
+	if quiet(c.Conn) != nil || c.reader.Buffered() > 0 {
 		return errStale // closed, or bytes that nobody asked for
 	}
 	return nil
@@ -141,11 +141,11 @@
 
 // awaits waits for bytes of the answer until a time; false: none came by then.
 func (a *attempt) awaits(until time.Time) bool {
-	if a.conn.in.Buffered() > 0 {
+	if a.conn.reader.Buffered() > 0 {
 		return true
 	}
 	a.conn.SetReadDeadline(until)
-	_, err := a.conn.in.Peek(1)
+	_, err := a.conn.reader.Peek(1)
 	a.conn.SetReadDeadline(time.Time{})
 	if at := a.until.Load(); at != 0 { // the loop has set a limit meanwhile
 		a.conn.SetReadDeadline(time.Unix(0, at))
@@ -157,7 +157,7 @@
 // relay is an answer that passes on as it comes. The client's side reads it off the upstream's connection and then says
 // how that ended.
 type relay struct {
-	reply
+	upstreamResponse
 	conn *conn
 	held []byte // its first bytes
 	end  chan error
@@ -183,7 +183,7 @@
 	open    func(network, address string, timeout time.Duration) (net.Conn, error)
 	timeout time.Duration
 	now     func() time.Duration // the loop's clock
-	held    *holder
+	held    *bodyMemory
 	begin   func(*attempt, *relay, garnettide.Load) // tells of an answer that passes on
 }
 
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{stream: newStream(c, 2<<10)}, nil
+	return &conn{httpConn: newHTTPConn(c, 2<<10)}, nil
 }
 
 // run makes the attempt: at most one write on the wire, whatever happens.
@@ -229,7 +229,7 @@
 	}
 	r := d.take(a)
 	if a.sent != nil {
-		if a.message.rest.end(); !a.whole.Load() && r.status == garnettide.Reset {
+		if a.message.rest.cancel(); !a.whole.Load() && r.status == garnettide.Reset {
 			r.status = garnettide.ConnectFailed // its last byte never left this process
 			if a.cut.Load() {
 				r.status = garnettide.NotSent // which says nothing of the upstream
@@ -252,7 +252,7 @@
 			a.drop()
 		}
 	}
-	if rest := a.message.rest; rest != nil && rest.abandoned() {
+	if rest := a.message.rest; rest != nil && rest.clientClosed() {
 		a.req.gone.Store(true)
 	}
 	if a.req.gone.Load() {
@@ -283,15 +283,15 @@
 // request then, and the upstream must not take it for one.
 func (a *attempt) upload(u *upload, behind bool) {
 	defer close(a.sent)
-	u.taken.Store(true)
-	p := pieces.Get().(*piece)
-	defer pieces.Put(p)
+	u.started.Store(true)
+	p := bodyBuffers.Get().(*bodyBuffer)
+	defer bodyBuffers.Put(p)
 	inChunks := u.length < 0
 	if inChunks && behind {
 		io.WriteString(a.conn, "\r\n") // behind what was held; an error shows in the next write
 	}
 	for {
-		n, err := u.in.Read(p.space())
+		n, err := u.reader.Read(p.data())
 		if n > 0 && push(a.conn, p.framed(n, inChunks)) != nil {
 			break // an answer may have come before the upstream closed: the reading shows
 		}
@@ -309,7 +309,7 @@
 			break
 		}
 	}
-	u.end()
+	u.cancel()
 }
 
 // push writes all of b, for as long as the other side takes some of it now and then.
@@ -333,7 +333,7 @@
 	select {
 	case <-a.sent:
 	case <-time.After(sentWait): // the last write may just be returning
-		a.message.rest.end()
+		a.message.rest.cancel()
 		a.conn.SetWriteDeadline(time.Unix(0, 1))
 		<-a.sent
 	}
@@ -344,13 +344,13 @@
 // fit where answers are held passes on from here.
 func (d dialer) take(a *attempt) result {
 	c := a.conn
-	m, err := c.reply()
+	m, err := c.readResponse()
 	if err != nil {
 		c.Close()
 		return result{status: broken(err)}
 	}
 	if !a.uploaded() {
-		m.ends = true
+		m.closeAfter = true
 	}
 	r := result{status: garnettide.Error, load: loadOf(m.header["X-Load"])}
 	switch {
@@ -361,30 +361,30 @@
 		r.status = garnettide.Rejected
 	}
 	begins := time.Now().Add(holdFor)
-	body, whole, err := d.held.gather(m.body, func() bool {
-		return m.length >= 0 && m.length <= maxBody || m.length < 0 && a.awaits(begins)
+	body, whole, err := d.held.collect(m.body, func() bool {
+		return m.length >= 0 && m.length <= maxBufferedBody || m.length < 0 && a.awaits(begins)
 	})
 	switch {
 	case err != nil:
 		c.Close()
 		return result{status: broken(err)}
 	case whole:
-		d.held.give(body)
+		d.held.free(body)
 		r.body = body
 	case r.status != garnettide.OK || a.req == nil: // too long to be read to its end for nobody
-		d.held.give(body)
-		r.status, m.ends = garnettide.Error, true
+		d.held.free(body)
+		r.status, m.closeAfter = garnettide.Error, true
 	default:
-		rl := &relay{reply: m, conn: c, held: body, end: make(chan error, 1)}
+		rl := &relay{upstreamResponse: m, conn: c, held: body, end: make(chan error, 1)}
 		d.begin(a, rl, r.load)
 		err := <-rl.end
-		if d.held.give(body); err != nil {
+		if d.held.free(body); err != nil {
 			c.Close()
 			return result{status: garnettide.Reset}
 		}
 	}
 	// Bytes behind the answer are a second copy or noise: the next request's answer would be read from them.
-	if m.ends || c.in.Buffered() > 0 {
+	if m.closeAfter || c.reader.Buffered() > 0 {
 		c.Close()
 	} else {
 		r.conn = c
@@ -394,7 +394,7 @@
 
 // broken tells an answer that can't be read from one that never came.
 func broken(err error) garnettide.Status {
-	for _, spoilt := range []error{errHead, errLong, errFrame, errLarge} {
+	for _, spoilt := range []error{errMalformedHead, errHeadTooLong, errAmbiguousFraming, errResponseTooLarge} {
 		if errors.Is(err, spoilt) {
 			return garnettide.Error
 		}
--- a/internal/proxy/virtual_test.go
+++ b/internal/proxy/virtual_test.go
@@ -271,7 +271,7 @@
 					ours, theirs := memPipe(v.silent)
 					begin := c.meet(v, func() {
 						synctest.Wait() // the list
-						v.front.take(theirs)
+						v.front.startClient(theirs)
 						key := ""
 						if c.class == "pay" {
 							key = "Idempotency-Key: 1\r\n"
@@ -314,9 +314,9 @@
 		close(v.gate)
 		u := v.upstream(okAll)
 		ours, theirs := memPipe(v.silent)
-		v.front.take(theirs)
+		v.front.startClient(theirs)
 		go fmt.Fprintf(ours, "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nX-Class: checkin\r\nContent-Length: %d\r\n\r\n%s",
-			3*maxBody, make([]byte, 3*maxBody))
+			3*maxBufferedBody, make([]byte, 3*maxBufferedBody))
 		synctest.Wait()
 		ours.Close()
 		time.Sleep(100 * time.Millisecond)
@@ -331,7 +331,7 @@
 // meet opens a client's connection.
 func (v *virtual) meet() *memConn {
 	ours, theirs := memPipe(v.silent)
-	v.front.take(theirs)
+	v.front.startClient(theirs)
 	return ours
 }
 
@@ -499,7 +499,7 @@
 // revisionHeld is that of the list that the loop goes by.
 func (v *virtual) revisionHeld() (revision int) {
 	done := make(chan struct{})
-	v.calls <- called{do: func(l *loop) { revision = int(l.revision) }, done: done}
+	v.calls <- adminLoopCall{fn: func(l *loop) { revision = int(l.revision) }, done: done}
 	<-done
 	return revision
 }
@@ -555,7 +555,7 @@
 							for start := time.Now(); time.Since(start) < limit; time.Sleep(100 * time.Millisecond) {
 								missing := make(chan struct{})
 								var lacks string
-								l.calls <- called{do: func(l *loop) { lacks = l.missing() }, done: missing}
+								l.calls <- adminLoopCall{fn: func(l *loop) { lacks = l.missing() }, done: missing}
 								<-missing
 								if lacks == "" && healthy(front) {
 									ready.Add(1)
