--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -20,127 +20,137 @@
 )
 
 const (
-	// answerMargin is taken off the client's deadline, which counts from its sending: the way here and back, and
-	// a turn of the loop.
+	// clientDeadlineMargin is subtracted from a client's deadline, which counts from when the client sent
+	// the request. It covers both network directions and one iteration of the event loop.
 	clientDeadlineMargin = 4 * time.Millisecond
-	// lameDuck is how long connections are still taken after SIGTERM: they go on coming for up to 0.4 s.
+
+	// acceptGracePeriod is how long connections are still accepted after SIGTERM, and how long idle ones
+	// are kept after a drain begins. New ones arrive for up to 0.4 s.
 	acceptGracePeriod = 450 * time.Millisecond
-	// A platform kills a process no sooner than the longest deadline, taken as longestTaken where it is longer, and
-	// killGrace after SIGTERM. What is taken until then must be answered by then. idleGrace is how long idle connections
-	// are kept after SIGTERM where the listener is another process's by now: most are used and closed behind an answer
-	// in that time, and whatever comes in it has its whole time before the kill.
+
+	// A process is killed no sooner after SIGTERM than the longest deadline of a class, capped at
+	// maxShutdownDeadline, plus shutdownGracePeriod. Every accepted request must be answered by then.
 	maxShutdownDeadline = 3 * time.Second
 	shutdownGracePeriod = 700 * time.Millisecond
-	handoverIdlePeriod  = 600 * time.Millisecond
-	// firstBytes is how long a new connection has for its request before it may have to give way: also the last
-	// one that is taken after SIGTERM.
-	firstByteTimeout = 50 * time.Millisecond
-	// mute is how long a connection may say nothing before it gives way first: a true client has begun by then, also
-	// behind a full accept queue.
-	noDataEvictAfter = 5 * firstByteTimeout
-	// Within 3 s of connecting a client is owed a word or a close. One that says nothing gets it after silentClient. A
-	// request may take headTime, also one that comes in pieces with long pauses, and a body as much more as it would need
-	// at slowestBody bytes a second, half of what the slowest true clients write. Time that this side makes the client
-	// wait does not count, and no client has more than headTime in hand.
-	firstRequestTimeout = 2500 * time.Millisecond
-	requestHeadTimeout  = 2800 * time.Millisecond
-	minClientBodyRate   = 32 << 10
-	clientIdleTimeout   = 2 * time.Minute
-	// lingerTimeout bounds how long, and lingerBytes how much, is read and dropped of a client that has been turned
-	// away: closed at once, the connection would be reset and the answer lost with it.
+	// handoverIdlePeriod is how long idle connections are kept after SIGTERM when another process uses the
+	// listener too. Most are used and closed after a response within it, and requests that arrive in it
+	// keep their full deadlines.
+	handoverIdlePeriod = 600 * time.Millisecond
+
+	// newClientGracePeriod is how long a new connection is safe from eviction while its request has not
+	// arrived. After SIGTERM the last accepted connections get as long.
+	newClientGracePeriod = 50 * time.Millisecond
+	// noDataEvictAfter is the age at which a connection that has sent nothing becomes the first to be
+	// evicted. Clients with a request have begun to send it by then, even after waiting in a full accept
+	// queue.
+	noDataEvictAfter = 5 * newClientGracePeriod
+
+	// A client must get a response or a close within 3 s of connecting. firstByteTimeout applies to a
+	// connection that sends nothing. requestHeadTimeout limits the total time spent waiting for a request's
+	// head. Each body byte extends it at minClientBodyRate bytes per second, half the rate of the slowest
+	// expected clients, up to requestHeadTimeout. Time in which the balancer does not read does not count.
+	firstByteTimeout   = 2500 * time.Millisecond
+	requestHeadTimeout = 2800 * time.Millisecond
+	minClientBodyRate  = 32 << 10
+	clientIdleTimeout  = 2 * time.Minute
+
+	// clientLingerTimeout and maxClientLingerBytes limit how long and how much is read and discarded after
+	// a request was refused. Closing at once would reset the connection, and the client could lose the
+	// response.
 	clientLingerTimeout  = 300 * time.Millisecond
 	maxClientLingerBytes = 256 << 10
-	// longLingerTimeout is for a true client whose answer came before it had sent its whole body: it may look only then.
+	// earlyResponseLingerTimeout applies when the response was sent before the whole body had arrived: the
+	// client may read it only after sending the body.
 	earlyResponseLingerTimeout = 2 * time.Second
 )
 
-// answer is what a client gets, once.
+// clientResponse is the one response to a client's request.
 type clientResponse struct {
 	status      int
 	body        []byte
 	contentType string
 	retryAfter  time.Duration
-	relay       *relay // the body, where it passes on as it comes
+	relay       *relay // the source of a streamed body; nil: body holds all of it
 }
 
-// stage is what a client's connection is at.
+// clientStage is the state of a client's connection.
 type clientStage uint8
 
 const (
-	clientReading clientStage = iota // no whole request has come yet, or it is being turned away
+	clientReading clientStage = iota // waiting for or reading a request, or refusing it
 	clientIdle                       // between requests
-	clientServing                    // a request is in it
-	clientEvicted                    // closed to make room
+	clientServing                    // a request is in flight
+	clientEvicted                    // closed by the frontend
 )
 
-// pacer sets a connection's limits of time while a request is read from it.
+// timedConn limits the time spent waiting for a client's bytes while a request is read.
 type timedConn struct {
 	net.Conn
-	limited     bool
-	readingBody bool          // what is read is a body's
-	remaining   time.Duration // that may still pass in reads
-	stopped     atomic.Bool   // reading ends at once
-	lastRead    atomic.Int64  // when bytes last came, Unix ns
+	limited     bool          // false: Read sets no deadline
+	readingBody bool          // bytes read extend the remaining time
+	remaining   time.Duration // time that reads may still take
+	stopped     atomic.Bool   // reads fail at once
+	lastRead    atomic.Int64  // when bytes were last read, in Unix nanoseconds
 }
 
-func (p *timedConn) Read(b []byte) (int, error) {
-	if !p.limited {
-		return p.Conn.Read(b)
+func (c *timedConn) Read(b []byte) (int, error) {
+	if !c.limited {
+		return c.Conn.Read(b)
 	}
 	start := time.Now()
-	p.Conn.SetReadDeadline(start.Add(p.remaining))
-	if p.stopped.Load() { // after the deadline was set, or that would undo the stop's
-		p.Conn.SetReadDeadline(time.Unix(0, 1))
+	c.Conn.SetReadDeadline(start.Add(c.remaining))
+	if c.stopped.Load() { // checked after the deadline is set, which may have overwritten the one set by stop
+		c.Conn.SetReadDeadline(time.Unix(0, 1))
 	}
-	n, err := p.Conn.Read(b)
+	n, err := c.Conn.Read(b)
 	if n > 0 {
-		p.lastRead.Store(time.Now().UnixNano())
+		c.lastRead.Store(time.Now().UnixNano())
 	}
-	p.remaining -= time.Since(start)
-	if p.readingBody {
-		p.remaining = min(p.remaining+time.Duration(n)*time.Second/minClientBodyRate, requestHeadTimeout)
+	c.remaining -= time.Since(start)
+	if c.readingBody {
+		c.remaining = min(c.remaining+time.Duration(n)*time.Second/minClientBodyRate, requestHeadTimeout)
 	}
 	if err != nil {
-		p.remaining = 0 // bufio asks again after an error behind half a line: that must not begin a new wait
+		c.remaining = 0 // bufio reads again after an error within a line, which must not start a new wait
 	}
 	return n, err
 }
 
-// stop ends reading, also one that waits, from any goroutine.
-func (p *timedConn) stop() {
-	p.stopped.Store(true)
-	p.Conn.SetReadDeadline(time.Unix(0, 1))
+// stop makes current and later reads fail. It may be called from any goroutine.
+func (c *timedConn) stop() {
+	c.stopped.Store(true)
+	c.Conn.SetReadDeadline(time.Unix(0, 1))
 }
 
-// client is a client's connection. Its stage is the frontend's, under its lock.
+// client is a client's connection. frontend.mu guards stage, stageSince and requestStarted.
 type client struct {
 	*httpConn
 	timed          *timedConn
-	acceptedAt     time.Time // when it was accepted
-	requestStarted bool      // bytes of a request have come
+	acceptedAt     time.Time
+	requestStarted bool // bytes of a request have arrived
 	stage          clientStage
-	stageSince     time.Time // of the stage
+	stageSince     time.Time // when the stage was entered
 }
 
-// frontend takes requests from clients, hands them to the loop and writes its answers.
+// frontend accepts client connections, passes their requests to the loop and writes the responses.
 type frontend struct {
-	plan           atomic.Pointer[garnettide.Plan] // in force
-	memory         *bodyMemory
+	plan           atomic.Pointer[garnettide.Plan] // the plan in force
+	memory         *bodyMemory                     // shared with the loop
 	post           func(event)
 	now            func() time.Duration
 	listener       net.Listener
-	listenerShared bool // the listener is one that another process takes connections from as well
+	listenerShared bool // another process may accept from the same listening socket
 
 	mu           sync.Mutex
-	maxClients   int // connections at most
+	maxClients   int // limit of client connections
 	clients      map[*client]struct{}
-	stopping     bool        // told to stop: every answer closes its connection
-	killAt       time.Time   // once leaving: this process must be done by then
-	accepting    bool        // connections are taken
-	closed       bool        // no more connections are taken, and idle ones go
-	outOfService bool        // out of service: every answer closes its connection
-	drainTimer   *time.Timer // closes the idle ones once the front has had its notice
-	clientsDone  sync.WaitGroup
+	stopping     bool           // stop has been called: every response closes its connection
+	killAt       time.Time      // when stopping, the time by which every request must be answered
+	accepting    bool           // serve has been called
+	closed       bool           // new and idle connections are closed
+	outOfService bool           // draining: every response closes its connection
+	drainTimer   *time.Timer    // closes idle connections after acceptGracePeriod of a drain
+	clientsDone  sync.WaitGroup // one per client goroutine
 }
 
 func newFrontend(c *Config, listener net.Listener, l *loop) *frontend {
@@ -150,7 +160,7 @@
 	return f
 }
 
-// serve takes connections until stop has been called.
+// serve accepts connections until stop closes the listener.
 func (f *frontend) serve() error {
 	f.mu.Lock()
 	f.accepting = true
@@ -162,18 +172,18 @@
 			f.startClient(c)
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		default: // out of descriptors, or a connection that broke in the queue: neither ends the service
-			slog.Warn("taking a connection", "err", err)
+		default: // out of descriptors, or a connection that broke in the accept queue: keep accepting
+			slog.Warn("accepting a client connection failed", "err", err)
 			f.makeRoom()
-			time.Sleep(firstByteTimeout / 10)
+			time.Sleep(newClientGracePeriod / 10)
 		}
 	}
 }
 
-// take begins to serve a connection, once there is room for it.
+// startClient serves a connection on a new goroutine. It waits until there is room for one.
 func (f *frontend) startClient(raw net.Conn) {
 	for !f.makeRoom() {
-		time.Sleep(firstByteTimeout / 10)
+		time.Sleep(newClientGracePeriod / 10)
 	}
 	timed := &timedConn{Conn: raw}
 	c := &client{httpConn: newHTTPConn(timed, 4<<10), timed: timed, acceptedAt: time.Now(), stageSince: time.Now()}
@@ -193,8 +203,10 @@
 	})
 }
 
-// evict tells whether there is room for one more connection. Where there is none it closes the one that is likeliest to
-// be of no use, never one with a request in it. Descriptors that run out would be missed by upstreams and discovery too.
+// makeRoom reports whether there is room for one more connection. If there is none, it evicts the one that
+// has made no progress for longest. Connections with a request in flight are not evicted, nor are those that
+// have made progress within newClientGracePeriod while a request is awaited or read. Running out of
+// descriptors would also fail connections to upstreams and discovery.
 func (f *frontend) makeRoom() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,7 +220,8 @@
 		if c.stage == clientServing || c.stage == clientEvicted {
 			continue
 		}
-		if stalled := c.stalled(now); (c.stage == clientIdle || stalled >= firstByteTimeout) && (victim == nil || stalled > longest) {
+		if stalled := c.stalled(now); (c.stage == clientIdle || stalled >= newClientGracePeriod) &&
+			(victim == nil || stalled > longest) {
 			victim, longest = c, stalled
 		}
 	}
@@ -220,8 +233,8 @@
 	return victim != nil
 }
 
-// still is how long c has made no progress. A true client writes at once, if slowly: one that has not begun by the time
-// of mute counts as still for longer than any that has.
+// stalled returns how long c has made no progress. A connection that has sent nothing for noDataEvictAfter
+// ranks above all that have sent something.
 func (c *client) stalled(now time.Time) time.Duration {
 	last := c.stageSince
 	if lastRead := time.Unix(0, c.timed.lastRead.Load()); lastRead.After(last) {
@@ -234,7 +247,8 @@
 	return stalled
 }
 
-// enter moves c to a stage. It fails if c has been closed meanwhile, or is to go.
+// setStage moves c to a stage. It reports false if c has been evicted, or if c would become idle while the
+// frontend is closed or draining.
 func (f *frontend) setStage(c *client, s clientStage) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -245,8 +259,9 @@
 	return true
 }
 
-// drain begins or ends a drain: /healthz says no, and what still comes is served and its connection closed. Connections
-// that hold nothing go once the front has had its notice, since their clients come back on new ones.
+// drain begins or ends a drain. During a drain /healthz fails, requests are still served, and every
+// response closes its connection. Connections without a request are closed after acceptGracePeriod; their
+// clients connect again.
 func (f *frontend) drain(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -268,33 +283,35 @@
 	slog.Info("out of service")
 }
 
-// parting tells whether the answers close their connections.
+// closeAfterResponse reports whether every response closes its connection.
 func (f *frontend) closeAfterResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopping || f.outOfService
 }
 
-// unwell tells whether /healthz says no. Where another process has the listener the balancer serves on.
+// unhealthy reports whether /healthz fails. It does not while stopping if another process keeps serving the
+// listener.
 func (f *frontend) unhealthy() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.outOfService || (f.stopping && !f.listenerShared)
 }
 
-// serves tells whether connections are taken.
+// acceptsClients reports whether connections are being accepted.
 func (f *frontend) acceptsClients() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.accepting && !f.stopping
 }
 
-// stop ends service without losing a request: connections that are still on their way are taken, then the
-// listener and idle connections are closed, and what has been taken is answered. A shared listener is left to the other
-// process at once.
+// stop shuts down gracefully. It keeps accepting for acceptGracePeriod, then closes the listener and the
+// idle connections, and returns when every accepted request has been answered. A shared listener is closed
+// at once, as the other process accepts from it.
 func (f *frontend) stop() {
 	f.mu.Lock()
-	f.stopping, f.killAt = true, time.Now().Add(min(f.plan.Load().MaxDeadline(), maxShutdownDeadline)+shutdownGracePeriod-firstByteTimeout)
+	f.stopping, f.killAt = true, time.Now().Add(
+		min(f.plan.Load().MaxDeadline(), maxShutdownDeadline)+shutdownGracePeriod-newClientGracePeriod)
 	wait := acceptGracePeriod
 	if f.listenerShared {
 		wait = handoverIdlePeriod
@@ -307,14 +324,15 @@
 	f.listener.Close()
 	f.close(func(c *client) bool { return c.stage == clientIdle })
 	f.mu.Unlock()
-	time.Sleep(firstByteTimeout)
+	time.Sleep(newClientGracePeriod)
 	f.mu.Lock()
 	f.close(func(c *client) bool { return c.stage == clientReading && !c.requestStarted })
 	f.mu.Unlock()
-	f.clientsDone.Wait() // every connection has an end: its request's deadline, or a peer that stalls
+	f.clientsDone.Wait() // request deadlines and I/O timeouts bound every connection
 }
 
-// limit bounds the connections. Those over it that hold nothing are closed.
+// limit sets the limit of client connections and evicts connections above it that have no request in
+// flight.
 func (f *frontend) limit(n int) {
 	f.mu.Lock()
 	f.maxClients = n
@@ -324,7 +342,7 @@
 	}
 }
 
-// close closes some of the connections. The caller holds the lock.
+// close closes the connections that match. The caller holds f.mu.
 func (f *frontend) close(match func(*client) bool) {
 	for c := range f.clients {
 		if match(c) {
@@ -334,10 +352,10 @@
 	}
 }
 
-// converse serves a connection until one side ends it. Clients send one request at a time.
+// serveClient serves requests on a connection, one at a time, until either side closes it.
 func (f *frontend) serveClient(c *client) {
-	wait := firstRequestTimeout
-	if f.closeAfterResponse() { // a connection that holds nothing must not outlive the notice by much
+	wait := firstByteTimeout
+	if f.closeAfterResponse() { // a connection without a request must not delay the shutdown or drain
 		wait = acceptGracePeriod
 	}
 	c.SetReadDeadline(time.Now().Add(wait))
@@ -350,7 +368,7 @@
 			return
 		}
 		c.timed.limited, c.timed.readingBody, c.timed.remaining = true, false, requestHeadTimeout
-		if first { // what is no request is owed its word by the time of its connection
+		if first { // the first request's time counts from the accept
 			c.timed.remaining -= time.Since(c.acceptedAt)
 		}
 		req, h, err := f.readRequest(c)
@@ -366,8 +384,8 @@
 	}
 }
 
-// serveOne gets the answer to a request and passes it on; q is nil for a question after this balancer's health. It tells
-// whether the connection may serve another one.
+// serveRequest serves one request; req is nil for a health check of this balancer. It reports whether the
+// connection can serve another request.
 func (f *frontend) serveRequest(c *client, req *request, h textproto.MIMEHeader) bool {
 	mustClose := func() bool { return wantsClose(h) || f.closeAfterResponse() }
 	if req == nil {
@@ -376,8 +394,8 @@
 		closing := mustClose()
 		return c.writeResponse(resp, closing) == nil && !closing
 	}
-	if req.message.rest == nil { // its client may have left while the request waited to be read
-		c.SetReadDeadline(time.Time{}) // the request's
+	if req.message.rest == nil { // the client may have closed while the request waited to be read
+		c.SetReadDeadline(time.Time{})
 		if err := quiet(c.timed.Conn); err != nil {
 			f.memory.free(req.message.body)
 			if errors.Is(err, errUnasked) {
@@ -390,7 +408,7 @@
 	w := f.watchClient(c, req)
 	f.post(arrived{req})
 	resp, err := w.awaitResponse()
-	if err != nil { // the client has gone, or what it sends is no request
+	if err != nil { // the client has closed, or its bytes are not a valid request
 		req.gone.Store(true)
 		f.post(left{req})
 		f.refuse(c, err)
@@ -415,15 +433,16 @@
 	return complete && !closing
 }
 
-// watcher reads from a client while its request is served: the rest of an open request's body, and then nothing, which
-// shows the client's leaving. What it sends ahead is none of ours.
+// clientWatcher reads from a client's connection while its request is served: first the rest of a streamed
+// body, and then a peek that detects that the client has closed or has sent bytes after the request.
 type clientWatcher struct {
 	c        *client
 	req      *request
-	readDone chan error
-	readErr  error // once stopped
+	readDone chan error // holds the result of reading; nil: bytes after the request
+	readErr  error      // that result, set by stop
 }
 
+// watchClient starts a watcher for a request.
 func (f *frontend) watchClient(c *client, req *request) *clientWatcher {
 	w := &clientWatcher{c: c, req: req, readDone: make(chan error, 1)}
 	go func() {
@@ -435,7 +454,7 @@
 		}
 		c.timed.limited = false
 		c.SetReadDeadline(time.Time{})
-		if c.timed.stopped.Load() { // it came before the line above
+		if c.timed.stopped.Load() { // stop may have run before the line above
 			c.SetReadDeadline(time.Unix(0, 1))
 		}
 		c.readLimit.N = maxHeadBytes
@@ -445,12 +464,13 @@
 	return w
 }
 
-// await waits for the answer, or for the client to go or to send what is no request, which is the error.
+// awaitResponse waits for the response. It returns an error if the client closes the connection or sends an
+// invalid body or bytes after the request.
 func (w *clientWatcher) awaitResponse() (clientResponse, error) {
 	select {
 	case resp := <-w.req.reply:
-		// A fault of the body ends its attempt too. The module's answer to that may be here first, and would tell the
-		// client that another try is harmless.
+		// An error in the client's body also ends the attempt. The response to that may arrive first, and
+		// would tell the client that a retry is safe.
 		if clientErr := w.req.message.rest.clientErr(); clientErr != nil && resp.status != http.StatusOK {
 			return clientResponse{}, clientErr
 		}
@@ -466,7 +486,7 @@
 	}
 }
 
-// stop ends the watch and tells whether the request has come whole, with nothing behind it that was looked for.
+// stop ends reading, sets readErr and reports whether the whole request has been received.
 func (w *clientWatcher) stop() bool {
 	rest := w.req.message.rest
 	if rest != nil {
@@ -478,7 +498,8 @@
 	return rest == nil || rest.complete
 }
 
-// pump passes the rest of a body to the attempt that takes it, as fast as that reads.
+// forwardBody writes the rest of a body to the pipe that an attempt reads. The pipe has no buffer, so the
+// client is read no faster than the attempt reads.
 func (f *frontend) forwardBody(c *client, req *request) error {
 	rest := req.message.rest
 	p := bodyBuffers.Get().(*bodyBuffer)
@@ -507,7 +528,7 @@
 	}
 }
 
-// budget is how much of a client's time there is before this process is killed, if it is to be.
+// capBudget limits a request's budget to the time left before killAt when stopping.
 func (f *frontend) capBudget(budget time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -517,7 +538,8 @@
 	return budget
 }
 
-// pass passes an answer on as it comes. Where it breaks off the client sees that it is not whole.
+// relayResponse streams a response to the client. If it fails, the client can tell that the response is
+// incomplete.
 func (c *client) relayResponse(r *relay, contentType string, closing bool, w *clientWatcher) error {
 	done := make(chan struct{})
 	defer close(done)
@@ -525,7 +547,7 @@
 		select {
 		case err := <-w.readDone:
 			w.readDone <- err
-			if err != nil && !errors.Is(err, errBodyUnwanted) { // the client has gone: nobody is read for
+			if err != nil && !errors.Is(err, errBodyUnwanted) { // the client has closed, so the response has no reader
 				r.conn.Close()
 			}
 		case <-done:
@@ -536,6 +558,8 @@
 	return err
 }
 
+// copy writes a streamed response's head, the buffered part of its body, and the rest as it is read from
+// the upstream.
 func (c *client) copy(r *relay, contentType string, closing bool) error {
 	chunked := r.length < 0
 	framing := "Transfer-Encoding: chunked\r\n"
@@ -572,10 +596,12 @@
 	}
 }
 
-// health answers a question after this balancer's health.
+// healthResponse returns the response to a health check of this balancer. If it is in service, the response
+// waits until the loop has handled an event.
 func (f *frontend) healthResponse() clientResponse {
 	if f.unhealthy() {
-		return clientResponse{status: http.StatusServiceUnavailable, body: []byte("out of service\n"), contentType: "text/plain"}
+		return clientResponse{status: http.StatusServiceUnavailable, body: []byte("out of service\n"),
+			contentType: "text/plain"}
 	}
 	reached := make(loopLivenessCheck)
 	f.post(reached)
@@ -583,12 +609,14 @@
 	return clientResponse{status: http.StatusOK, body: []byte("ok\n"), contentType: "text/plain"}
 }
 
-// turn is closed when the loop comes to it: it is alive.
+// loopLivenessCheck is an event that the loop closes when it handles it, which shows that the loop is
+// running.
 type loopLivenessCheck chan struct{}
 
 func (t loopLivenessCheck) apply(*loop) { close(t) }
 
-// refusal is why a request never reaches the module, and what its client is told.
+// refusal is an error for which a request is refused before it reaches the Balancer, with the status and
+// text of the response.
 type refusal struct {
 	status int
 	reason string
@@ -596,6 +624,7 @@
 
 func (r *refusal) Error() string { return r.reason }
 
+// badRequest returns a refusal with status 400.
 func badRequest(format string, args ...any) error {
 	return &refusal{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
@@ -605,8 +634,8 @@
 	errPipelined       = badRequest("bytes behind a request that is not answered yet")
 )
 
-// turnAway answers a client whose request can't be served, and closes the connection: where its next request begins
-// is not certain. One whose connection broke gets no answer.
+// refuse responds to a request that can't be served. The caller then closes the connection, because the
+// start of the client's next request is unknown. Connection errors get no response.
 func (f *frontend) refuse(c *client, err error) {
 	if !f.setStage(c, clientReading) {
 		return
@@ -625,7 +654,8 @@
 	c.lingeringClose(clientLingerTimeout, maxClientLingerBytes)
 }
 
-// lingeringClose reads and drops what a client that has its answer still sends, and waits for its close, within bounds.
+// lingeringClose closes a TCP connection for writing, then reads and discards what the client still sends
+// until the client closes it, wait is over or limit bytes have been read.
 func (c *client) lingeringClose(wait time.Duration, limit int64) {
 	if tcp, ok := c.timed.Conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
@@ -638,7 +668,7 @@
 	}
 }
 
-// head renders an answer's head.
+// renderHead returns a response's status line and header. closing adds "Connection: close".
 func renderHead(resp clientResponse, framing string, closing bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%s", resp.status, http.StatusText(resp.status), framing)
@@ -655,7 +685,8 @@
 	return b.Bytes()
 }
 
-// write writes an answer. If it fails the client has gone, and can tell that the answer is not whole.
+// writeResponse writes a buffered response. On an error the client has closed or can tell that the response
+// is incomplete.
 func (c *client) writeResponse(resp clientResponse, closing bool) error {
 	b := renderHead(resp, fmt.Sprintf("Content-Length: %d\r\n", len(resp.body)), closing)
 	if len(resp.body) <= bodyBufferSize {
@@ -667,12 +698,12 @@
 	return push(c, resp.body)
 }
 
-// once names the fields of which a second one would leave open which of them counts.
-var singletonHeaders = []string{"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key",
-	"X-Retry", "X-Cost-Hint", "X-Extras", "Cookie"}
+// singletonHeaders names the header fields that a request may contain only once.
+var singletonHeaders = []string{"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms",
+	"Idempotency-Key", "X-Retry", "X-Cost-Hint", "X-Extras", "Cookie"}
 
-// read reads a client's request; nil is a question after this balancer's health. What is malformed never reaches the
-// module.
+// readRequest reads and validates a client's request. A nil request without an error is a health check of
+// this balancer.
 func (f *frontend) readRequest(c *client) (*request, textproto.MIMEHeader, error) {
 	line, h, err := c.readHead()
 	if err != nil {
@@ -702,12 +733,12 @@
 		f.memory.free(req.message.body)
 		return nil, nil, errPipelined
 	}
-	req.at = f.now() // it counts from its last byte
+	req.at = f.now() // the deadline counts from the request's last byte
 	return req, h, nil
 }
 
-// readBody reads a request's body as far as it can be held. Framing that someone might read in another way is refused:
-// the rest of the body would be a request of its own there.
+// readBody reads a request's body as far as it can be buffered. What remains is set up to be streamed.
+// Framing that an upstream could interpret differently is refused, to prevent request smuggling.
 func (f *frontend) readBody(c *client, req *request, method string, h textproto.MIMEHeader) error {
 	encodings, length := h["Transfer-Encoding"], h.Get("Content-Length")
 	n, ok := parseDigits(length)
@@ -736,7 +767,7 @@
 	}
 	if expects := h.Get("Expect"); strings.EqualFold(expects, "100-continue") {
 		if c.reader.Buffered() == 0 {
-			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // if it fails so does the reading
+			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // an error also fails the read below
 		}
 	} else if expects != "" {
 		return &refusal{http.StatusExpectationFailed, "nothing but 100-continue is expected here"}
@@ -761,8 +792,8 @@
 	return nil
 }
 
-// check reads what a request says of itself. A field that is there must be right: a guess at what was meant would be
-// served in its place.
+// parseRequest validates the target and the header fields and returns the request without its body. A
+// malformed field is refused rather than guessed at.
 func (f *frontend) parseRequest(method, target string, h textproto.MIMEHeader) (*request, error) {
 	class := f.plan.Load().Class(h.Get("X-Class"))
 	path, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "?")
@@ -801,7 +832,7 @@
 		if !ok {
 			return nil, badRequest("X-Cost-Hint is no number")
 		}
-		// Work that could not be done in the class's time is no guess to go by, and would move the mean of them.
+		// A hint above the class's deadline is ignored: it would distort the average cost.
 		if us <= uint64(class.Deadline.Microseconds()) {
 			req.Cost = time.Duration(us) * time.Microsecond
 		}
@@ -812,10 +843,10 @@
 			req.Key = uint64(hashed(c.Value))
 		}
 	}
-	for _, named := range h["Connection"] { // fields that the client meant for this connection only
+	for _, named := range h["Connection"] { // fields that are meant for this connection only
 		for name := range strings.SplitSeq(named, ",") {
 			name = textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name))
-			if !slices.Contains(singletonHeaders, name) { // what the protocol wants passed on can't be taken out
+			if !slices.Contains(singletonHeaders, name) { // the protocol requires these fields
 				h.Del(name)
 			}
 		}
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -20,50 +20,53 @@
 	"time"
 )
 
-// This file hands service over from one process to the next: the listening socket, what operators have called for, and
-// the knowledge that there are two.
+// This file hands service over from one process of a balancer to the next: the listening socket, the
+// operators' orders, and the detection of other running processes.
 
 const (
-	// followEvery is how often a process looks for what the other one was told. A yes waits for two looks, and an
-	// operator waits a second.
+	// ordersPollInterval is how often a process checks for orders stored by another one. A call waits for
+	// two checks within adminCallTimeout.
 	ordersPollInterval = 20 * time.Millisecond
-	// lockEvery is the time between two tries at the lock, which is held for one read and one write.
+	// lockRetryInterval is the time between two attempts to lock the state file. The lock is held for one
+	// read and one write.
 	lockRetryInterval = 2 * time.Millisecond
-	// ordersMost bounds the file: as many ids as are kept, with names of usual length.
+	// maxOrdersBytes limits the size of the state file. All remembered upstream ids of usual length fit.
 	maxOrdersBytes = 256 << 10
-	// overlap is how many processes share the limits: the old one and the new one. More may live, where one that was
-	// replaced has not ended yet.
+	// overlapProcesses is how many processes share the limits: the old one and the new one. Up to
+	// maxProcesses may run if earlier ones have not ended yet.
 	overlapProcesses = 2
 	maxProcesses     = 4
 )
 
-// Listen returns the clients' listener: the inherited one if there is one.
+// Listen returns the listener for clients. If c.Inherited is set, it duplicates that descriptor, which must
+// be a listening TCP socket, and closes the original; otherwise it listens on c.Listen.
 func Listen(c *Config) (net.Listener, error) {
 	if c.Inherited == 0 {
 		l, err := net.Listen("tcp", c.Listen)
 		if err != nil {
-			return nil, fmt.Errorf("listening for clients: %w", err)
+			return nil, fmt.Errorf("client listener: %w", err)
 		}
 		return l, nil
 	}
-	// A socket that does not listen would be taken for one, and show only when nobody can be accepted.
+	// net.FileListener accepts a socket that is not listening; only Accept would fail.
 	if on, err := syscall.GetsockoptInt(c.Inherited, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
-		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is no listening socket: %w", c.Inherited,
+		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is not a listening socket: %w", c.Inherited,
 			errorOr(err, syscall.EINVAL))
 	}
 	f := os.NewFile(uintptr(c.Inherited), "inherited listener")
-	defer f.Close() // the listener has one of its own
+	defer f.Close() // net.FileListener duplicates the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil, fmt.Errorf("RELAY_INHERITED_FD: %w", err)
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d listens on %s, TCP is wanted", c.Inherited, l.Addr().Network())
+		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d listens on %s, not TCP", c.Inherited, l.Addr().Network())
 	}
 	return l, nil
 }
 
+// errorOr returns err, or fallback if err is nil.
 func errorOr(err, fallback error) error {
 	if err != nil {
 		return err
@@ -71,32 +74,34 @@
 	return fallback
 }
 
-// orders are what operators have called for and not called back.
+// operatorOrders are the states that operators have set, as stored in the state file.
 type operatorOrders struct {
 	OutOfService bool     `json:"out_of_service"`
 	Offline      []string `json:"offline"`
 }
 
-// stateFile keeps the orders in a file that the processes of one balancer share, one after another and while they overlap.
+// stateFile stores the orders in a file that successive and overlapping processes of one balancer share.
 type stateFile struct {
 	path        string
-	shared      bool     // another process may live beside this one
-	processLock *os.File // locked for as long as this process lives
-	slot        int      // which of the files that tell who lives
+	shared      bool     // other processes of this balancer may be running
+	processLock *os.File // locked while this process runs; nil: not shared, or no free slot
+	slot        int      // number of the lock file of this process, below maxProcesses
 
 	current     atomic.Pointer[operatorOrders]
-	mu          sync.Mutex  // over changes of held
-	currentInfo os.FileInfo // of the file that held was read from
+	mu          sync.Mutex  // held while current and currentInfo change
+	currentInfo os.FileInfo // of the file that current was last read from or written to
 }
 
-// openStateFile reads what the process before has left. A file that can't be used is reported and no more: the start goes on.
+// openStateFile reads the orders stored by earlier processes. A file that can't be used is logged and does
+// not prevent the start. If other processes may be running, it also locks a slot for this one.
 func openStateFile(c *Config) (*stateFile, error) {
 	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.Inherited != 0}
-	for try := 0; s.shared && s.processLock == nil && try < 10*maxProcesses; try++ { // another one's look lasts for a moment
+	// alone in another process may lock a free slot for a moment, so each slot is tried several times.
+	for try := 0; s.shared && s.processLock == nil && try < 10*maxProcesses; try++ {
 		s.slot = try % maxProcesses
 		var err error
 		if s.processLock, err = tryLock(s.processLockPath(s.slot)); err != nil {
-			return nil, fmt.Errorf("orders: %w", err)
+			return nil, fmt.Errorf("orders: locking the process file: %w", err)
 		}
 		if s.processLock == nil {
 			time.Sleep(lockRetryInterval)
@@ -105,9 +110,9 @@
 	o, _, err := s.read()
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		slog.Info("orders: none are kept", "file", s.path)
+		slog.Info("orders: no state file", "file", s.path)
 	case err != nil:
-		slog.Error("orders: what is kept can't be used, nothing counts as called out", "err", err)
+		slog.Error("orders: reading the state file failed: starting in service with no upstream offline", "err", err)
 	default:
 		slog.Info("orders read", "out_of_service", o.OutOfService, "offline", o.Offline)
 	}
@@ -115,16 +120,18 @@
 	return s, nil
 }
 
+// processLockPath returns the lock file of a slot.
 func (s *stateFile) processLockPath(slot int) string { return fmt.Sprintf("%s.life%d", s.path, slot) }
 
-// close gives up what is locked.
+// close releases the slot of this process.
 func (s *stateFile) close() {
 	if s.processLock != nil {
 		s.processLock.Close()
 	}
 }
 
-// tryLock locks a file if nobody else has. Whoever holds the lock and dies has given it up.
+// tryLock opens and locks a file. It returns nil without an error if the file is locked. The lock ends with
+// the process.
 func tryLock(path string) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -137,7 +144,7 @@
 	return f, nil
 }
 
-// alone tells whether no other process of this balancer lives.
+// alone reports whether no other process of this balancer is running.
 func (s *stateFile) alone() bool {
 	for slot := range maxProcesses {
 		if !s.shared || slot == s.slot {
@@ -154,7 +161,7 @@
 	return true
 }
 
-// read reads the file. Without an error it is whole: it is replaced, never written over.
+// read reads the state file. The file is always replaced by renaming, so it is never read half written.
 func (s *stateFile) read() (operatorOrders, os.FileInfo, error) {
 	var o operatorOrders
 	f, err := os.Open(s.path)
@@ -171,7 +178,7 @@
 		return o, info, err
 	}
 	if len(data) > maxOrdersBytes {
-		return operatorOrders{}, info, fmt.Errorf("%s: over %d bytes", s.path, maxOrdersBytes)
+		return operatorOrders{}, info, fmt.Errorf("%s: larger than %d bytes", s.path, maxOrdersBytes)
 	}
 	if err := json.Unmarshal(data, &o); err != nil {
 		return operatorOrders{}, info, fmt.Errorf("%s: %w", s.path, err)
@@ -179,7 +186,7 @@
 	return o, info, nil
 }
 
-// news looks whether another process was told anything since the last look.
+// refresh reads the state file if it has changed, and reports whether there are new orders.
 func (s *stateFile) refresh() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,14 +196,14 @@
 	}
 	o, info, err := s.read()
 	if s.currentInfo = info; err != nil {
-		slog.Error("orders: a change can't be read, what held before holds", "err", err)
+		slog.Error("orders: reading the changed state file failed: the previous orders stay", "err", err)
 		return false
 	}
 	s.current.Store(&o)
 	return true
 }
 
-// change notes a call, on top of what the other process has noted.
+// update applies modify to the stored orders, including those of other processes, and writes them back.
 func (s *stateFile) update(ctx context.Context, modify func(*operatorOrders)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -214,7 +221,7 @@
 	}
 	defer lock.Close()
 	o, _, err := s.read()
-	if err != nil { // missing, or spoilt: what this process goes by is the best there is
+	if err != nil { // missing or invalid: start from the orders of this process
 		o = *s.current.Load()
 	}
 	o.Offline = slices.Clone(o.Offline)
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -19,83 +19,86 @@
 	"time"
 )
 
-// This file reads and writes messages. net/http's own readers are not used: they drop a Content-Length that stands
-// beside Transfer-Encoding, so that nobody can see both, bound neither head nor interim answers, and take an answer
-// without a length as whole wherever it ends. Fields are parsed by net/textproto.
+// This file reads and writes HTTP/1.1 messages. The readers of net/http are not used: they drop a
+// Content-Length next to a Transfer-Encoding, so that a message with both can't be detected; they limit
+// neither heads nor interim responses; and they accept a response without a length as complete wherever it
+// ends. Header fields are parsed by net/textproto.
 
 const (
-	maxHeadBytes        = 16 << 10 // bytes of a head; an answer's interim ones count with it
-	maxInterimResponses = 16       // 1xx answers ahead of one answer
-	// maxBody is held of a body at most, and only what is held whole can be sent again. maxStream bounds bodies that
-	// pass in pieces, each of the size of pieceSize: large enough to cost few calls, small enough for hundreds.
-	maxBufferedBody = 64 << 10
-	maxBodyBytes    = 32 << 20
-	bodyBufferSize  = 16 << 10
-	minBodyBuffer   = 1 << 10
+	maxHeadBytes        = 16 << 10 // of a start line and header; interim responses count with the final one
+	maxInterimResponses = 16       // 1xx responses before a final one
+
+	maxBufferedBody = 64 << 10 // bytes of a body kept in memory; only a fully buffered body can be sent again
+	maxBodyBytes    = 32 << 20 // a whole body, buffered or streamed
+	bodyBufferSize  = 16 << 10 // bytes of a streamed body per read and write
+	minBodyBuffer   = 1 << 10  // first allocation for a buffered body
 )
 
+// The first three are written to clients whose requests cause them.
 var (
 	errMalformedHead    = errors.New("a head that can't be read")
 	errHeadTooLong      = errors.New("a head over the bound")
 	errAmbiguousFraming = errors.New("framing that is not certain")
-	errResponseTooLarge = errors.New("a body over the bound")
+	errResponseTooLarge = errors.New("response body exceeds the size limit")
 )
 
-// stream is a connection from which messages are read, each within its bounds.
+// httpConn is a connection from which HTTP messages are read within size limits.
 type httpConn struct {
 	net.Conn
 	reader     *bufio.Reader
 	textReader *textproto.Reader
-	readLimit  io.LimitedReader // what may still be read off the connection
+	readLimit  io.LimitedReader // N is how many more bytes may be read from the connection
 }
 
-// source is where a connection's bytes come from. The system tells only once that a connection was reset, and whoever
-// reads on finds a plain end, which would end an answer of no length. So what ended the reading stays.
+// stickyErrorConn repeats the first read error other than a timeout. The kernel reports a reset only once
+// and then io.EOF, which would pass for the end of a response without a length.
 type stickyErrorConn struct {
 	net.Conn
 	err error
 }
 
-func (s *stickyErrorConn) Read(b []byte) (int, error) {
-	if s.err != nil {
-		return 0, s.err
+func (c *stickyErrorConn) Read(b []byte) (int, error) {
+	if c.err != nil {
+		return 0, c.err
 	}
-	n, err := s.Conn.Read(b)
+	n, err := c.Conn.Read(b)
 	if timeout := net.Error(nil); !errors.As(err, &timeout) || !timeout.Timeout() {
-		s.err = err
+		c.err = err
 	}
 	return n, err
 }
 
-func newHTTPConn(c net.Conn, buffer int) *httpConn {
-	s := &httpConn{Conn: c}
-	s.readLimit.R = &stickyErrorConn{Conn: c}
-	s.reader = bufio.NewReaderSize(&s.readLimit, buffer)
-	s.textReader = textproto.NewReader(s.reader)
-	return s
+// newHTTPConn wraps a connection, with a read buffer of the given size.
+func newHTTPConn(raw net.Conn, buffer int) *httpConn {
+	c := &httpConn{Conn: raw}
+	c.readLimit.R = &stickyErrorConn{Conn: raw}
+	c.reader = bufio.NewReaderSize(&c.readLimit, buffer)
+	c.textReader = textproto.NewReader(c.reader)
+	return c
 }
 
-// head reads a first line and the fields behind it. The caller sets the bound.
-func (s *httpConn) readHead() (string, textproto.MIMEHeader, error) {
-	line, err := s.textReader.ReadLine()
+// readHead reads a start line and a header. The caller sets readLimit.
+func (c *httpConn) readHead() (string, textproto.MIMEHeader, error) {
+	line, err := c.textReader.ReadLine()
 	if err != nil {
-		return "", nil, s.readError(err)
+		return "", nil, c.readError(err)
 	}
-	h, err := s.textReader.ReadMIMEHeader()
+	h, err := c.textReader.ReadMIMEHeader()
 	if err != nil {
-		return "", nil, s.readError(err)
+		return "", nil, c.readError(err)
 	}
 	for name := range h {
-		if strings.Contains(name, " ") { // textproto lets "Content-Length :" pass, the other side may read it as one
+		if strings.Contains(name, " ") { // textproto accepts "Content-Length :", which upstreams may read as valid
 			return "", nil, errMalformedHead
 		}
 	}
 	return line, h, nil
 }
 
-// failed tells a bound reached and a text that can't be read from a connection that broke.
-func (s *httpConn) readError(err error) error {
-	if s.readLimit.N <= 0 {
+// readError maps an error of reading a head to errHeadTooLong if the limit was reached and to
+// errMalformedHead if the text is malformed. Connection errors are returned as they are.
+func (c *httpConn) readError(err error) error {
+	if c.readLimit.N <= 0 {
 		return errHeadTooLong
 	}
 	if wrong := textproto.ProtocolError(""); errors.As(err, &wrong) {
@@ -104,7 +107,7 @@
 	return err
 }
 
-// digits reads a number that is written in digits and nothing else: no sign, no blanks.
+// parseDigits parses a decimal number without sign or spaces.
 func parseDigits(text string) (uint64, bool) {
 	if text == "" || strings.Trim(text, "0123456789") != "" {
 		return 0, false
@@ -113,10 +116,10 @@
 	return n, err == nil
 }
 
-// The readers of bodies return io.EOF where the body is whole, and only there. They lift the bound on what is read off
-// the connection: who reads them bounds what is kept.
+// The body readers return io.EOF only at the end of a complete body. They lift readLimit: their callers
+// limit what they read.
 
-// sized is a body of a stated length.
+// sizedBody reads a body with a Content-Length.
 type sizedBody struct {
 	conn      *httpConn
 	remaining int64
@@ -136,14 +139,15 @@
 	return n, err
 }
 
-// chunked is a body in chunks. Its trailer is read and dropped, as a recipient may.
+// chunkedBody reads a body in chunked encoding. The trailer is read and discarded, which HTTP permits.
 type chunkedBody struct {
 	conn    *httpConn
 	decoder io.Reader
 }
 
-func (s *httpConn) newChunkedBody() *chunkedBody {
-	return &chunkedBody{s, httputil.NewChunkedReader(s.reader)}
+// newChunkedBody returns a reader of the chunked body that follows a head.
+func (c *httpConn) newChunkedBody() *chunkedBody {
+	return &chunkedBody{c, httputil.NewChunkedReader(c.reader)}
 }
 
 func (b *chunkedBody) Read(p []byte) (int, error) {
@@ -165,7 +169,7 @@
 	return n, io.EOF
 }
 
-// toEnd is a body that ends with the connection.
+// untilCloseBody reads a body that ends when the connection closes.
 type untilCloseBody struct{ conn *httpConn }
 
 func (b untilCloseBody) Read(p []byte) (int, error) {
@@ -173,27 +177,29 @@
 	return b.conn.reader.Read(p)
 }
 
-// holder bounds what is held of bodies, over all connections.
+// bodyMemory limits the memory for buffered bodies, over all connections. available is in bytes.
 type bodyMemory struct{ available atomic.Int64 }
 
-func (h *bodyMemory) reserve(n int) bool {
-	if h.available.Add(-int64(n)) >= 0 {
+// reserve takes n bytes and reports whether that many were available. If not, it takes none.
+func (m *bodyMemory) reserve(n int) bool {
+	if m.available.Add(-int64(n)) >= 0 {
 		return true
 	}
-	h.available.Add(int64(n))
+	m.available.Add(int64(n))
 	return false
 }
 
-// give returns the room of a buffer that gather has made.
-func (h *bodyMemory) free(b []byte) { h.available.Add(int64(cap(b))) }
+// free returns the memory of a buffer that collect has allocated.
+func (m *bodyMemory) free(b []byte) { m.available.Add(int64(cap(b))) }
 
-// gather reads a body into a buffer: all of it, which is whole then, or as much as fits, or as long as more says so.
-// Memory grows with what comes, not with what was claimed.
-func (h *bodyMemory) collect(body io.Reader, more func() bool) (b []byte, complete bool, err error) {
+// collect reads a body into a buffer until the body is complete, maxBufferedBody is reached, no memory is
+// available or more returns false. complete reports that the buffer holds the whole body. The buffer grows
+// with the bytes received, not with the stated length. After an error nothing stays reserved.
+func (m *bodyMemory) collect(body io.Reader, more func() bool) (b []byte, complete bool, err error) {
 	for more() {
 		if len(b) == cap(b) {
 			grown := max(2*cap(b), minBodyBuffer)
-			if grown > maxBufferedBody || !h.reserve(grown-cap(b)) {
+			if grown > maxBufferedBody || !m.reserve(grown-cap(b)) {
 				break
 			}
 			b = append(make([]byte, 0, grown), b...)
@@ -202,29 +208,31 @@
 		if b = b[:len(b)+n]; err == io.EOF {
 			return b, true, nil
 		} else if err != nil {
-			h.free(b)
+			m.free(b)
 			return nil, false, err
 		}
 	}
 	return b, false, nil
 }
 
+// always is a condition for collect that never stops it.
 func always() bool { return true }
 
-// reply is the head of an upstream's answer, and its body, which is still to be read.
+// upstreamResponse is the head of an upstream's response, and a reader of its body.
 type upstreamResponse struct {
 	status     int
 	header     textproto.MIMEHeader
 	body       io.Reader
-	length     int64 // of the body; -1 where only its end will tell
-	closeAfter bool  // the connection ends with it
+	length     int64 // of the body; -1: unknown before its end
+	closeAfter bool  // the connection can't be reused
 }
 
-// reply reads the head of an upstream's answer. Without an error it is certain where the answer ends.
-func (s *httpConn) readResponse() (upstreamResponse, error) {
-	s.readLimit.N = maxHeadBytes
+// readResponse reads the head of an upstream's response and skips interim responses. It fails if the end of
+// the body would be ambiguous.
+func (c *httpConn) readResponse() (upstreamResponse, error) {
+	c.readLimit.N = maxHeadBytes
 	for range maxInterimResponses + 1 {
-		line, h, err := s.readHead()
+		line, h, err := c.readHead()
 		if err != nil {
 			return upstreamResponse{}, err
 		}
@@ -232,7 +240,7 @@
 		statusText, _, _ = strings.Cut(statusText, " ")
 		status, isNumber := parseDigits(statusText)
 		if !ok || !isNumber || len(statusText) != 3 || status < 100 || status == http.StatusSwitchingProtocols {
-			return upstreamResponse{}, errMalformedHead // nobody asked for another protocol
+			return upstreamResponse{}, errMalformedHead // requests never ask for a protocol switch
 		}
 		if status < http.StatusOK {
 			continue
@@ -240,17 +248,17 @@
 		r := upstreamResponse{status: int(status), header: h, length: -1, closeAfter: wantsClose(h)}
 		encodings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 		switch n, isLength := parseDigits(strings.Join(lengths, ",")); {
-		case status == http.StatusNoContent || status == http.StatusNotModified: // whatever its fields say
-			r.body, r.length = &sizedBody{s, 0}, 0
+		case status == http.StatusNoContent || status == http.StatusNotModified: // never have a body
+			r.body, r.length = &sizedBody{c, 0}, 0
 		case len(encodings) == 1 && len(lengths) == 0 && strings.EqualFold(encodings[0], "chunked"):
-			r.body = s.newChunkedBody()
+			r.body = c.newChunkedBody()
 		case len(encodings) == 0 && isLength && n > maxBodyBytes:
 			return upstreamResponse{}, errResponseTooLarge
 		case len(encodings) == 0 && isLength:
-			r.body, r.length = &sizedBody{s, int64(n)}, int64(n)
+			r.body, r.length = &sizedBody{c, int64(n)}, int64(n)
 		case len(encodings) == 0 && len(lengths) == 0:
-			r.body, r.closeAfter = untilCloseBody{s}, true
-		default: // two lengths, or both framings: nobody can tell where it ends
+			r.body, r.closeAfter = untilCloseBody{c}, true
+		default: // conflicting lengths, an unknown encoding, or both a length and an encoding
 			return upstreamResponse{}, errAmbiguousFraming
 		}
 		return r, nil
@@ -258,7 +266,7 @@
 	return upstreamResponse{}, errHeadTooLong
 }
 
-// closes tells whether the other side wants the connection closed behind this message.
+// wantsClose reports whether a header asks to close the connection after its message.
 func wantsClose(h textproto.MIMEHeader) bool {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
@@ -270,53 +278,56 @@
 	return false
 }
 
-// notEndToEnd names what belongs to one connection, and what is written anew.
+// headersNotForwarded names the hop-by-hop fields, and the fields that message.bytes writes itself.
 var headersNotForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true,
 	"Host": true, "X-Deadline-Ms": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
+// headBuffers holds buffers in which request heads are rendered.
 var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// pieces are the buffers in which bodies pass. Before and behind the piece is room for the framing of a chunk.
+// bodyBuffers holds buffers through which bodies are streamed.
 var bodyBuffers = sync.Pool{New: func() any { return new(bodyBuffer) }}
 
 const (
-	chunkHeadSize = 8 // hexadecimal digits of a piece's size, and a line's end
-	chunkTailSize = 2
+	chunkHeadSize = 8 // room for the chunk size in hexadecimal digits and CRLF
+	chunkTailSize = 2 // CRLF
 )
 
+// bodyBuffer holds body bytes, with room before and after them for the framing of a chunk.
 type bodyBuffer [chunkHeadSize + bodyBufferSize + chunkTailSize]byte
 
-// space is where a body's piece goes.
-func (p *bodyBuffer) data() []byte { return p[chunkHeadSize : chunkHeadSize+bodyBufferSize] }
+// data returns the part of the buffer for body bytes.
+func (b *bodyBuffer) data() []byte { return b[chunkHeadSize : chunkHeadSize+bodyBufferSize] }
 
-// framed returns n bytes of the piece as they go on the wire.
-func (p *bodyBuffer) framed(n int, chunked bool) []byte {
+// framed returns the first n data bytes as they are written to a connection: as one chunk if chunked, else
+// as they are.
+func (b *bodyBuffer) framed(n int, chunked bool) []byte {
 	if !chunked || n == 0 { // an empty chunk would end the body
-		return p[chunkHeadSize : chunkHeadSize+n]
+		return b[chunkHeadSize : chunkHeadSize+n]
 	}
 	head := strconv.AppendInt(nil, int64(n), 16)
 	head = append(head, "\r\n"...)
-	copy(p[chunkHeadSize-len(head):], head)
-	copy(p[chunkHeadSize+n:], "\r\n")
-	return p[chunkHeadSize-len(head) : chunkHeadSize+n+chunkTailSize]
+	copy(b[chunkHeadSize-len(head):], head)
+	copy(b[chunkHeadSize+n:], "\r\n")
+	return b[chunkHeadSize-len(head) : chunkHeadSize+n+chunkTailSize]
 }
 
-// lastChunk ends a body in chunks.
+// lastChunk ends a body in chunked encoding.
 const lastChunk = "0\r\n\r\n"
 
-// message is the client's request as an upstream gets it, but for the first lines that are written for each attempt.
-// Method, path, query and body go on unchanged.
+// message is a client's request as it is forwarded to upstreams. Method, path, query and body are
+// unchanged; bytes writes the request line, Host and X-Deadline-Ms for each attempt.
 type message struct {
-	methodAndTarget string // method and target
+	methodAndTarget string // as in the request line
 	header          http.Header
 	host            string
-	body            []byte  // as far as it is held
-	rest            *upload // what is not; nil: nothing
+	body            []byte  // the buffered part
+	rest            *upload // the streamed part; nil: none
 }
 
-// bytes renders m for an attempt that waits so long: in one piece where it is small, or without its body, which goes
-// behind it.
+// bytes renders m for an attempt with the given timeout. A small buffered body is part of head. Otherwise
+// it is returned as tail, to be written after head.
 func (m *message) bytes(timeout time.Duration) (head, tail []byte) {
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
@@ -327,7 +338,7 @@
 	b.WriteString("\r\nX-Deadline-Ms: ")
 	b.WriteString(strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
 	b.WriteString("\r\n")
-	m.header.WriteSubset(b, headersNotForwarded) // a buffer takes all
+	m.header.WriteSubset(b, headersNotForwarded) // a bytes.Buffer returns no error
 	switch {
 	case m.rest != nil && m.rest.length < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
@@ -349,26 +360,26 @@
 	return bytes.Clone(b.Bytes()), tail
 }
 
-// upload is the part of a request's body that is not held. The client's side puts it into a pipe that one attempt reads,
-// so that the client is read no faster than the upstream reads.
+// upload is the streamed part of a request's body. The frontend writes it into a pipe that a single attempt
+// reads, so the client is read no faster than the upstream.
 type upload struct {
-	body     io.Reader // off the client's connection
-	length   int64     // of the whole body; -1: chunks
+	body     io.Reader // reads from the client's connection
+	length   int64     // of the whole body; -1: chunked
 	reader   *io.PipeReader
 	writer   *io.PipeWriter
-	client   net.Conn
-	started  atomic.Bool // an attempt has begun to read it: no other one can
-	complete bool        // the client's side: its last byte has come
-	failure  atomic.Pointer[error]
+	client   net.Conn              // checked for a close by the client
+	started  atomic.Bool           // an attempt has begun to read it, so no other one can
+	complete bool                  // set by the frontend when the last byte has arrived
+	failure  atomic.Pointer[error] // passed to fail
 }
 
-// fail ends the body for the attempt that reads it, by a fault of the client's.
+// fail ends the body with an error of the client's, for the attempt that reads it.
 func (u *upload) fail(err error) {
 	u.failure.Store(&err)
 	u.writer.CloseWithError(err)
 }
 
-// fault returns the fault of the client's that has ended the body; nil: none, as with nothing to upload.
+// clientErr returns the error passed to fail, if any. u may be nil.
 func (u *upload) clientErr() error {
 	if u == nil {
 		return nil
@@ -379,15 +390,16 @@
 	return nil
 }
 
-// errUnread is what the client's side gets when nobody wants the rest of a body.
-var errBodyUnwanted = errors.New("the rest of the body is not wanted")
+// errBodyUnwanted is returned to the frontend's writes when the rest of a body is not needed.
+var errBodyUnwanted = errors.New("rest of the request body not needed")
 
-// errHungUp is what the client's side gets when the client has closed its connection behind bytes that nobody has read.
-var errClientClosed = errors.New("the client has closed its connection")
+// errClientClosed is returned to the frontend's writes when the client has closed its connection after body
+// bytes that have not been read.
+var errClientClosed = errors.New("client closed its connection")
 
-// abandoned tells whether the client has gone, and if so ends the client's side. Reading does not show it while bytes of
-// the body come first, and these are not read until an attempt takes them. The system tells of the close without reading,
-// but for one that waits behind more than the receive buffer takes.
+// clientClosed reports whether the client has closed its connection, and if so fails the frontend's writes.
+// Reading can't detect a close behind body bytes, which are not read until an attempt needs them. The state
+// of the TCP connection shows it, unless the unread bytes exceed the receive buffer.
 func (u *upload) clientClosed() bool {
 	if !closedByPeer(u.client) {
 		return false
@@ -396,14 +408,14 @@
 	return true
 }
 
-// The states of a TCP connection in which the other side has ended it, as include/net/tcp_states.h of Linux numbers them.
+// States of a TCP connection that the peer has ended, as numbered in Linux's include/net/tcp_states.h.
 const (
-	tcpClose     = 7 // by a reset
-	tcpCloseWait = 8 // by a close
+	tcpClose     = 7 // after a reset
+	tcpCloseWait = 8 // after a close
 	tcpStateMask = 0xff
 )
 
-// hungUp looks, without waiting or reading, whether the other side has closed or reset a connection.
+// closedByPeer reports whether the peer has closed or reset a connection, without blocking or reading.
 func closedByPeer(c net.Conn) bool {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -419,5 +431,5 @@
 	return err != nil || state == tcpClose || state == tcpCloseWait
 }
 
-// end tells the client's side that the rest is not wanted. After the last byte it has no effect.
+// cancel fails the frontend's writes because the rest is not needed. It has no effect after the last byte.
 func (u *upload) cancel() { u.reader.CloseWithError(errBodyUnwanted) }
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// callWait is how long an operator waits for a yes or a no. What takes longer has no one to hear it.
+	// adminCallTimeout is how long an operator waits for the result of a call.
 	adminCallTimeout = time.Second
-	// adminConns bounds the calls that are open at once: the few of an operator, and as many that never finish.
+	// adminConns limits the open connections of operators, with a reserve for calls that never finish.
 	adminConns = 8
-	// writeWait is the time between two looks whether a request is still on its way to an upstream that is taken out.
+	// writePollInterval is the time between two checks whether a request is still being written to an
+	// upstream that is taken offline.
 	writePollInterval = 5 * time.Millisecond
-	maxAdminHeadBytes = 4 << 10 // a call has a short path and no fields that matter
+	maxAdminHeadBytes = 4 << 10 // calls have short paths and need no header fields
 )
 
-// adminServer answers the operators' calls, each on a connection of its own, at an address that clients do not have.
+// adminServer serves operators' calls on the admin listener, each on a connection of its own.
 type adminServer struct {
 	server http.Server
 	loop   *loop
@@ -32,18 +33,21 @@
 	state  *stateFile
 
 	mu    sync.Mutex
-	conns []net.Conn // open, the oldest first
+	conns []net.Conn // open connections, the oldest first
 }
 
+// newAdminServer returns a server for the given loop, frontend and state file. Connections are served once
+// serve is called.
 func newAdminServer(l *loop, f *frontend, file *stateFile) *adminServer {
 	s := &adminServer{loop: l, front: f, state: file}
-	s.server = http.Server{Handler: s, ReadTimeout: adminCallTimeout, WriteTimeout: 2 * adminCallTimeout, MaxHeaderBytes: maxAdminHeadBytes,
-		DisableGeneralOptionsHandler: true, ConnState: s.trackConn, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn)}
+	s.server = http.Server{Handler: s, ReadTimeout: adminCallTimeout, WriteTimeout: 2 * adminCallTimeout,
+		MaxHeaderBytes: maxAdminHeadBytes, DisableGeneralOptionsHandler: true, ConnState: s.trackConn,
+		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelWarn)}
 	s.server.SetKeepAlivesEnabled(false)
 	return s
 }
 
-// count keeps the calls within their bound: the oldest, which had the most time, gives way.
+// trackConn keeps the open connections within adminConns by closing the oldest.
 func (s *adminServer) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +62,7 @@
 	}
 }
 
-// no is a call's answer where it is not a yes.
+// adminRefusal is an error with the status and text of the response to a call.
 type adminRefusal struct {
 	status int
 	reason string
@@ -66,7 +70,7 @@
 
 func (r *adminRefusal) Error() string { return r.reason }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (s *adminServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	method, handler := s.route(r.URL.EscapedPath())
 	ctx, cancel := context.WithTimeout(r.Context(), adminCallTimeout)
@@ -92,7 +96,7 @@
 	}
 }
 
-// call tells what a path asks for; nil: it is no call.
+// route returns the method and the handler of a path; a nil handler means that the path is unknown.
 func (s *adminServer) route(path string) (method string, handler func(context.Context) error) {
 	switch path {
 	case "/control/ready":
@@ -111,7 +115,7 @@
 	return http.MethodPut, func(ctx context.Context) error { return s.setOffline(ctx, id, verb == "offline") }
 }
 
-// called is a call's part on the loop.
+// adminLoopCall is an event that runs a function on the loop and then closes done.
 type adminLoopCall struct {
 	fn   func(l *loop)
 	done chan struct{}
@@ -122,7 +126,7 @@
 	close(e.done)
 }
 
-// turn has the loop do something, and waits until that is done.
+// runOnLoop runs fn on the loop and waits until it has returned.
 func (s *adminServer) runOnLoop(ctx context.Context, fn func(l *loop)) error {
 	e := adminLoopCall{fn, make(chan struct{})}
 	select {
@@ -138,7 +142,7 @@
 	}
 }
 
-// ready says yes once this process can serve.
+// ready returns nil once this process can serve, and otherwise an error that says what is missing.
 func (s *adminServer) ready(ctx context.Context) error {
 	var missing string
 	if err := s.runOnLoop(ctx, func(l *loop) { missing = l.missing() }); err != nil {
@@ -153,12 +157,12 @@
 	return nil
 }
 
-// drain begins or ends a drain.
+// drain takes the balancer out of service or puts it back in service.
 func (s *adminServer) drain(ctx context.Context, on bool) error {
 	return s.updateOrders(ctx, func(o *operatorOrders) { o.OutOfService = on })
 }
 
-// maintain leaves an upstream out, or ends that.
+// setOffline takes an upstream offline for maintenance, or back online.
 func (s *adminServer) setOffline(ctx context.Context, id string, offline bool) error {
 	var known bool
 	if err := s.runOnLoop(ctx, func(l *loop) {
@@ -178,7 +182,8 @@
 	})
 }
 
-// order notes a call and has it obeyed, by the other process too if there is one.
+// updateOrders changes the stored orders and applies them. If another process is running, it waits for as
+// long as that needs to apply them too.
 func (s *adminServer) updateOrders(ctx context.Context, modify func(*operatorOrders)) error {
 	if err := s.state.update(ctx, modify); err != nil {
 		return err
@@ -194,8 +199,9 @@
 	}
 }
 
-// obey goes by the orders as they are at its turn: those that a call has noted may be older than what a later call, whose
-// turn came first, was told yes for. It waits for what has begun to be written to an upstream that is left out.
+// enforceOrders applies the orders that are current when the loop runs it. Those stored by its own call may
+// be older than those of a later call that the loop has already applied. It waits until no request is being
+// written to an upstream that is offline.
 func (s *adminServer) enforceOrders(ctx context.Context) error {
 	for {
 		var written bool
@@ -214,8 +220,9 @@
 	}
 }
 
-// follow goes by what another process was told, and keeps to a part of the limits while there is one. began is closed
-// once this process may take connections: when it is ready, or there is nobody else.
+// followOrders applies the orders that another process has stored, and shares the limits while there is
+// one. It closes mayAccept once this process may accept connections: when it is ready, or when there is no
+// other process.
 func (s *adminServer) followOrders(ctx context.Context, c *Config, mayAccept chan<- struct{}) {
 	ticker := time.NewTicker(ordersPollInterval)
 	defer ticker.Stop()
@@ -223,7 +230,7 @@
 	for {
 		if s.state.refresh() {
 			if err := s.enforceOrders(ctx); err != nil && ctx.Err() == nil {
-				slog.Error("orders of the other process", "err", err)
+				slog.Error("applying the orders of the other process failed", "err", err)
 			}
 		}
 		if alone := s.state.alone(); alone == sharing {
@@ -245,40 +252,42 @@
 	}
 }
 
-// share keeps this process to its half of the limits, or ends that.
+// shareLimits restricts this process to its part of the limits on connections while another process runs,
+// or lifts that.
 func (s *adminServer) shareLimits(ctx context.Context, c *Config, on bool) {
 	processes := 1
 	if on {
 		processes = overlapProcesses
 	}
-	slog.Info("descriptors and memory are shared", "processes", processes)
+	slog.Info("descriptor and memory limits divided between processes", "processes", processes)
 	s.front.limit(c.clientConns() / processes)
 	if err := s.runOnLoop(ctx, func(l *loop) { l.limit(c.upstreamConns() / processes) }); err != nil && ctx.Err() == nil {
-		slog.Error("sharing descriptors", "err", err)
+		slog.Error("dividing the descriptor limit failed", "err", err)
 	}
 	if c.Overlap != nil {
 		c.Overlap(on)
 	}
 }
 
-// serve answers calls until end.
+// serve serves calls until stop.
 func (s *adminServer) serve(l net.Listener) error {
 	if err := s.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("the admin listener: %w", err)
+		return fmt.Errorf("serving the admin listener: %w", err)
 	}
 	return nil
 }
 
+// stop closes the listener and all connections.
 func (s *adminServer) stop() { s.server.Close() }
 
-// listenForOperators opens the admin listener; no address, none.
+// listenAdmin opens the admin listener. It returns nil without an address.
 func listenAdmin(address string) (net.Listener, error) {
 	if strings.TrimSpace(address) == "" {
 		return nil, nil
 	}
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("listening for operators: %w", err)
+		return nil, fmt.Errorf("admin listener: %w", err)
 	}
 	return l, nil
 }
