--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -331,9 +331,9 @@
 	f.clientsDone.Wait() // request deadlines and I/O timeouts bound every connection
 }
 
-// limit sets the limit of client connections and evicts connections above it that have no request in
+// setConnLimit sets the limit of client connections and evicts connections above it that have no request in
 // flight.
-func (f *frontend) limit(n int) {
+func (f *frontend) setConnLimit(n int) {
 	f.mu.Lock()
 	f.maxClients = n
 	over := len(f.clients) - n
@@ -571,9 +571,9 @@
 	}
 	p := bodyBuffers.Get().(*bodyBuffer)
 	defer bodyBuffers.Put(p)
-	for held := r.held; len(held) > 0; {
-		n := copy(p.data(), held)
-		held = held[n:]
+	for buffered := r.held; len(buffered) > 0; {
+		n := copy(p.data(), buffered)
+		buffered = buffered[n:]
 		if err := push(c, p.framed(n, chunked)); err != nil {
 			return err
 		}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -260,7 +260,7 @@
 		processes = overlapProcesses
 	}
 	slog.Info("descriptor and memory limits divided between processes", "processes", processes)
-	s.front.limit(c.clientConns() / processes)
+	s.front.setConnLimit(c.clientConns() / processes)
 	if err := s.runOnLoop(ctx, func(l *loop) { l.limit(c.upstreamConns() / processes) }); err != nil && ctx.Err() == nil {
 		slog.Error("dividing the descriptor limit failed", "err", err)
 	}
