--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -19,93 +19,96 @@
 	"time"
 )
 
-// This file reads and writes messages. net/http's own readers are not used: they drop a Content-Length that stands
-// beside Transfer-Encoding, so that nobody can see both, bound neither head nor interim answers, and take an answer
-// without a length as whole wherever it ends. Fields are parsed by net/textproto.
+// This file reads and writes HTTP/1.1 messages. The readers of net/http are not used: they drop a
+// Content-Length next to a Transfer-Encoding, so that a message with both can't be detected; they limit
+// neither heads nor interim responses; and they accept a response without a length as complete wherever it
+// ends. Header fields are parsed by net/textproto.
 
 const (
-	maxHead    = 16 << 10 // bytes of a head; an answer's interim ones count with it
-	maxInterim = 16       // 1xx answers ahead of one answer
-	// maxBody is held of a body at most, and only what is held whole can be sent again. maxStream bounds bodies that
-	// pass in pieces, each of the size of pieceSize: large enough to cost few calls, small enough for hundreds.
-	maxBody   = 64 << 10
-	maxStream = 32 << 20
-	pieceSize = 16 << 10
-	leastHeld = 1 << 10
+	maxHeadBytes        = 16 << 10 // of a start line and header; interim responses count with the final one
+	maxInterimResponses = 16       // 1xx responses before a final one
+
+	maxBufferedBody = 64 << 10 // bytes of a body kept in memory; only a fully buffered body can be sent again
+	maxBodyBytes    = 32 << 20 // a whole body, buffered or streamed
+	bodyBufferSize  = 16 << 10 // bytes of a streamed body per read and write
+	minBodyBuffer   = 1 << 10  // first allocation for a buffered body
 )
 
+// The first three are written to clients whose requests cause them.
 var (
-	errHead  = errors.New("a head that can't be read")
-	errLong  = errors.New("a head over the bound")
-	errFrame = errors.New("framing that is not certain")
-	errLarge = errors.New("a body over the bound")
+	errMalformedHead    = errors.New("a head that can't be read")
+	errHeadTooLong      = errors.New("a head over the bound")
+	errAmbiguousFraming = errors.New("framing that is not certain")
+	errResponseTooLarge = errors.New("response body exceeds the size limit")
 )
 
-// stream is a connection from which messages are read, each within its bounds.
-type stream struct {
+// httpConn is a connection from which HTTP messages are read within size limits.
+type httpConn struct {
 	net.Conn
-	in    *bufio.Reader
-	text  *textproto.Reader
-	bound io.LimitedReader // what may still be read off the connection
+	reader     *bufio.Reader
+	textReader *textproto.Reader
+	readLimit  io.LimitedReader // N is how many more bytes may be read from the connection
 }
 
-// source is where a connection's bytes come from. The system tells only once that a connection was reset, and whoever
-// reads on finds a plain end, which would end an answer of no length. So what ended the reading stays.
-type source struct {
+// stickyErrorConn repeats the first read error other than a timeout. The kernel reports a reset only once
+// and then io.EOF, which would pass for the end of a response without a length.
+type stickyErrorConn struct {
 	net.Conn
 	err error
 }
 
-func (s *source) Read(b []byte) (int, error) {
-	if s.err != nil {
-		return 0, s.err
+func (c *stickyErrorConn) Read(b []byte) (int, error) {
+	if c.err != nil {
+		return 0, c.err
 	}
-	n, err := s.Conn.Read(b)
+	n, err := c.Conn.Read(b)
 	if timeout := net.Error(nil); !errors.As(err, &timeout) || !timeout.Timeout() {
-		s.err = err
+		c.err = err
 	}
 	return n, err
 }
 
-func newStream(c net.Conn, buffer int) *stream {
-	s := &stream{Conn: c}
-	s.bound.R = &source{Conn: c}
-	s.in = bufio.NewReaderSize(&s.bound, buffer)
-	s.text = textproto.NewReader(s.in)
-	return s
+// newHTTPConn wraps a connection, with a read buffer of the given size.
+func newHTTPConn(raw net.Conn, buffer int) *httpConn {
+	c := &httpConn{Conn: raw}
+	c.readLimit.R = &stickyErrorConn{Conn: raw}
+	c.reader = bufio.NewReaderSize(&c.readLimit, buffer)
+	c.textReader = textproto.NewReader(c.reader)
+	return c
 }
 
-// head reads a first line and the fields behind it. The caller sets the bound.
-func (s *stream) head() (string, textproto.MIMEHeader, error) {
-	line, err := s.text.ReadLine()
+// readHead reads a start line and a header. The caller sets readLimit.
+func (c *httpConn) readHead() (string, textproto.MIMEHeader, error) {
+	line, err := c.textReader.ReadLine()
 	if err != nil {
-		return "", nil, s.failed(err)
+		return "", nil, c.readError(err)
 	}
-	h, err := s.text.ReadMIMEHeader()
+	h, err := c.textReader.ReadMIMEHeader()
 	if err != nil {
-		return "", nil, s.failed(err)
+		return "", nil, c.readError(err)
 	}
 	for name := range h {
-		if strings.Contains(name, " ") { // textproto lets "Content-Length :" pass, the other side may read it as one
-			return "", nil, errHead
+		if strings.Contains(name, " ") { // textproto accepts "Content-Length :", which upstreams may read as valid
+			return "", nil, errMalformedHead
 		}
 	}
 	return line, h, nil
 }
 
-// failed tells a bound reached and a text that can't be read from a connection that broke.
-func (s *stream) failed(err error) error {
-	if s.bound.N <= 0 {
-		return errLong
+// readError maps an error of reading a head to errHeadTooLong if the limit was reached and to
+// errMalformedHead if the text is malformed. Connection errors are returned as they are.
+func (c *httpConn) readError(err error) error {
+	if c.readLimit.N <= 0 {
+		return errHeadTooLong
 	}
 	if wrong := textproto.ProtocolError(""); errors.As(err, &wrong) {
-		return fmt.Errorf("%w: %v", errHead, wrong)
+		return fmt.Errorf("%w: %v", errMalformedHead, wrong)
 	}
 	return err
 }
 
-// digits reads a number that is written in digits and nothing else: no sign, no blanks.
-func digits(text string) (uint64, bool) {
+// parseDigits parses a decimal number without sign or spaces.
+func parseDigits(text string) (uint64, bool) {
 	if text == "" || strings.Trim(text, "0123456789") != "" {
 		return 0, false
 	}
@@ -113,22 +116,22 @@
 	return n, err == nil
 }
 
-// The readers of bodies return io.EOF where the body is whole, and only there. They lift the bound on what is read off
-// the connection: who reads them bounds what is kept.
+// The body readers return io.EOF only at the end of a complete body. They lift readLimit: their callers
+// limit what they read.
 
-// sized is a body of a stated length.
-type sized struct {
-	s    *stream
-	left int64
+// sizedBody reads a body with a Content-Length.
+type sizedBody struct {
+	conn      *httpConn
+	remaining int64
 }
 
-func (b *sized) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *sizedBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	b.s.bound.N = math.MaxInt64
-	n, err := b.s.in.Read(p[:min(int64(len(p)), b.left)])
-	if b.left -= int64(n); b.left == 0 {
+	b.conn.readLimit.N = math.MaxInt64
+	n, err := b.conn.reader.Read(p[:min(int64(len(p)), b.remaining)])
+	if b.remaining -= int64(n); b.remaining == 0 {
 		return n, io.EOF
 	} else if err == io.EOF {
 		err = io.ErrUnexpectedEOF
@@ -136,62 +139,67 @@
 	return n, err
 }
 
-// chunked is a body in chunks. Its trailer is read and dropped, as a recipient may.
-type chunked struct {
-	s     *stream
-	parts io.Reader
+// chunkedBody reads a body in chunked encoding. The trailer is read and discarded, which HTTP permits.
+type chunkedBody struct {
+	conn    *httpConn
+	decoder io.Reader
 }
 
-func (s *stream) chunks() *chunked { return &chunked{s, httputil.NewChunkedReader(s.in)} }
+// newChunkedBody returns a reader of the chunked body that follows a head.
+func (c *httpConn) newChunkedBody() *chunkedBody {
+	return &chunkedBody{c, httputil.NewChunkedReader(c.reader)}
+}
 
-func (b *chunked) Read(p []byte) (int, error) {
-	b.s.bound.N = math.MaxInt64
-	n, err := b.parts.Read(p)
+func (b *chunkedBody) Read(p []byte) (int, error) {
+	b.conn.readLimit.N = math.MaxInt64
+	n, err := b.decoder.Read(p)
 	if err == nil || errors.Is(err, io.ErrUnexpectedEOF) {
 		return n, err
-	} else if broken := net.Error(nil); errors.As(err, &broken) {
+	} else if netErr := net.Error(nil); errors.As(err, &netErr) {
 		return n, err
 	} else if err != io.EOF {
-		return n, errFrame
+		return n, errAmbiguousFraming
 	}
-	b.s.bound.N = maxHead
-	if _, err := b.s.text.ReadMIMEHeader(); errors.Is(err, io.EOF) {
+	b.conn.readLimit.N = maxHeadBytes
+	if _, err := b.conn.textReader.ReadMIMEHeader(); errors.Is(err, io.EOF) {
 		return n, io.ErrUnexpectedEOF
 	} else if err != nil {
-		return n, b.s.failed(err)
+		return n, b.conn.readError(err)
 	}
 	return n, io.EOF
 }
 
-// toEnd is a body that ends with the connection.
-type toEnd struct{ s *stream }
+// untilCloseBody reads a body that ends when the connection closes.
+type untilCloseBody struct{ conn *httpConn }
 
-func (b toEnd) Read(p []byte) (int, error) {
-	b.s.bound.N = math.MaxInt64
-	return b.s.in.Read(p)
+func (b untilCloseBody) Read(p []byte) (int, error) {
+	b.conn.readLimit.N = math.MaxInt64
+	return b.conn.reader.Read(p)
 }
 
-// holder bounds what is held of bodies, over all connections.
-type holder struct{ room atomic.Int64 }
+// bodyMemory limits the memory for buffered bodies, over all connections. available is in bytes.
+type bodyMemory struct{ available atomic.Int64 }
 
-func (h *holder) take(n int) bool {
-	if h.room.Add(-int64(n)) >= 0 {
+// reserve takes n bytes and reports whether that many were available. If not, it takes none.
+func (m *bodyMemory) reserve(n int) bool {
+	if m.available.Add(-int64(n)) >= 0 {
 		return true
 	}
-	h.room.Add(int64(n))
+	m.available.Add(int64(n))
 	return false
 }
 
-// give returns the room of a buffer that gather has made.
-func (h *holder) give(b []byte) { h.room.Add(int64(cap(b))) }
+// free returns the memory of a buffer that collect has allocated.
+func (m *bodyMemory) free(b []byte) { m.available.Add(int64(cap(b))) }
 
-// gather reads a body into a buffer: all of it, which is whole then, or as much as fits, or as long as more says so.
-// Memory grows with what comes, not with what was claimed.
-func (h *holder) gather(body io.Reader, more func() bool) (b []byte, whole bool, err error) {
+// collect reads a body into a buffer until the body is complete, maxBufferedBody is reached, no memory is
+// available or more returns false. complete reports that the buffer holds the whole body. The buffer grows
+// with the bytes received, not with the stated length. After an error nothing stays reserved.
+func (m *bodyMemory) collect(body io.Reader, more func() bool) (b []byte, complete bool, err error) {
 	for more() {
 		if len(b) == cap(b) {
-			grown := max(2*cap(b), leastHeld)
-			if grown > maxBody || !h.take(grown-cap(b)) {
+			grown := max(2*cap(b), minBodyBuffer)
+			if grown > maxBufferedBody || !m.reserve(grown-cap(b)) {
 				break
 			}
 			b = append(make([]byte, 0, grown), b...)
@@ -200,64 +208,66 @@
 		if b = b[:len(b)+n]; err == io.EOF {
 			return b, true, nil
 		} else if err != nil {
-			h.give(b)
+			m.free(b)
 			return nil, false, err
 		}
 	}
 	return b, false, nil
 }
 
+// always is a condition for collect that never stops it.
 func always() bool { return true }
 
-// reply is the head of an upstream's answer, and its body, which is still to be read.
-type reply struct {
-	status int
-	header textproto.MIMEHeader
-	body   io.Reader
-	length int64 // of the body; -1 where only its end will tell
-	ends   bool  // the connection ends with it
+// upstreamResponse is the head of an upstream's response, and a reader of its body.
+type upstreamResponse struct {
+	status     int
+	header     textproto.MIMEHeader
+	body       io.Reader
+	length     int64 // of the body; -1: unknown before its end
+	closeAfter bool  // the connection can't be reused
 }
 
-// reply reads the head of an upstream's answer. Without an error it is certain where the answer ends.
-func (s *stream) reply() (reply, error) {
-	s.bound.N = maxHead
-	for range maxInterim + 1 {
-		line, h, err := s.head()
+// readResponse reads the head of an upstream's response and skips interim responses. It fails if the end of
+// the body would be ambiguous.
+func (c *httpConn) readResponse() (upstreamResponse, error) {
+	c.readLimit.N = maxHeadBytes
+	for range maxInterimResponses + 1 {
+		line, h, err := c.readHead()
 		if err != nil {
-			return reply{}, err
+			return upstreamResponse{}, err
 		}
-		code, ok := strings.CutPrefix(line, "HTTP/1.1 ")
-		code, _, _ = strings.Cut(code, " ")
-		status, isNumber := digits(code)
-		if !ok || !isNumber || len(code) != 3 || status < 100 || status == http.StatusSwitchingProtocols {
-			return reply{}, errHead // nobody asked for another protocol
+		statusText, ok := strings.CutPrefix(line, "HTTP/1.1 ")
+		statusText, _, _ = strings.Cut(statusText, " ")
+		status, isNumber := parseDigits(statusText)
+		if !ok || !isNumber || len(statusText) != 3 || status < 100 || status == http.StatusSwitchingProtocols {
+			return upstreamResponse{}, errMalformedHead // requests never ask for a protocol switch
 		}
 		if status < http.StatusOK {
 			continue
 		}
-		r := reply{status: int(status), header: h, length: -1, ends: closes(h)}
-		te, cl := h["Transfer-Encoding"], h["Content-Length"]
-		switch n, isLength := digits(strings.Join(cl, ",")); {
-		case status == http.StatusNoContent || status == http.StatusNotModified: // whatever its fields say
-			r.body, r.length = &sized{s, 0}, 0
-		case len(te) == 1 && len(cl) == 0 && strings.EqualFold(te[0], "chunked"):
-			r.body = s.chunks()
-		case len(te) == 0 && isLength && n > maxStream:
-			return reply{}, errLarge
-		case len(te) == 0 && isLength:
-			r.body, r.length = &sized{s, int64(n)}, int64(n)
-		case len(te) == 0 && len(cl) == 0:
-			r.body, r.ends = toEnd{s}, true
-		default: // two lengths, or both framings: nobody can tell where it ends
-			return reply{}, errFrame
+		r := upstreamResponse{status: int(status), header: h, length: -1, closeAfter: wantsClose(h)}
+		encodings, lengths := h["Transfer-Encoding"], h["Content-Length"]
+		switch n, isLength := parseDigits(strings.Join(lengths, ",")); {
+		case status == http.StatusNoContent || status == http.StatusNotModified: // never have a body
+			r.body, r.length = &sizedBody{c, 0}, 0
+		case len(encodings) == 1 && len(lengths) == 0 && strings.EqualFold(encodings[0], "chunked"):
+			r.body = c.newChunkedBody()
+		case len(encodings) == 0 && isLength && n > maxBodyBytes:
+			return upstreamResponse{}, errResponseTooLarge
+		case len(encodings) == 0 && isLength:
+			r.body, r.length = &sizedBody{c, int64(n)}, int64(n)
+		case len(encodings) == 0 && len(lengths) == 0:
+			r.body, r.closeAfter = untilCloseBody{c}, true
+		default: // conflicting lengths, an unknown encoding, or both a length and an encoding
+			return upstreamResponse{}, errAmbiguousFraming
 		}
 		return r, nil
 	}
-	return reply{}, errLong
+	return upstreamResponse{}, errHeadTooLong
 }
 
-// closes tells whether the other side wants the connection closed behind this message.
-func closes(h textproto.MIMEHeader) bool {
+// wantsClose reports whether a header asks to close the connection after its message.
+func wantsClose(h textproto.MIMEHeader) bool {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(name), "close") {
@@ -268,70 +278,73 @@
 	return false
 }
 
-// notEndToEnd names what belongs to one connection, and what is written anew.
-var notEndToEnd = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
+// headersNotForwarded names the hop-by-hop fields, and the fields that message.bytes writes itself.
+var headersNotForwarded = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Content-Length": true,
 	"Host": true, "X-Deadline-Ms": true, "Proxy-Authenticate": true, "Proxy-Authorization": true}
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+// headBuffers holds buffers in which request heads are rendered.
+var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// pieces are the buffers in which bodies pass. Before and behind the piece is room for the framing of a chunk.
-var pieces = sync.Pool{New: func() any { return new(piece) }}
+// bodyBuffers holds buffers through which bodies are streamed.
+var bodyBuffers = sync.Pool{New: func() any { return new(bodyBuffer) }}
 
 const (
-	chunkHead = 8 // hexadecimal digits of a piece's size, and a line's end
-	chunkTail = 2
+	chunkHeadSize = 8 // room for the chunk size in hexadecimal digits and CRLF
+	chunkTailSize = 2 // CRLF
 )
 
-type piece [chunkHead + pieceSize + chunkTail]byte
+// bodyBuffer holds body bytes, with room before and after them for the framing of a chunk.
+type bodyBuffer [chunkHeadSize + bodyBufferSize + chunkTailSize]byte
 
-// space is where a body's piece goes.
-func (p *piece) space() []byte { return p[chunkHead : chunkHead+pieceSize] }
+// data returns the part of the buffer for body bytes.
+func (b *bodyBuffer) data() []byte { return b[chunkHeadSize : chunkHeadSize+bodyBufferSize] }
 
-// framed returns n bytes of the piece as they go on the wire.
-func (p *piece) framed(n int, inChunks bool) []byte {
-	if !inChunks || n == 0 { // an empty chunk would end the body
-		return p[chunkHead : chunkHead+n]
+// framed returns the first n data bytes as they are written to a connection: as one chunk if chunked, else
+// as they are.
+func (b *bodyBuffer) framed(n int, chunked bool) []byte {
+	if !chunked || n == 0 { // an empty chunk would end the body
+		return b[chunkHeadSize : chunkHeadSize+n]
 	}
 	head := strconv.AppendInt(nil, int64(n), 16)
 	head = append(head, "\r\n"...)
-	copy(p[chunkHead-len(head):], head)
-	copy(p[chunkHead+n:], "\r\n")
-	return p[chunkHead-len(head) : chunkHead+n+chunkTail]
+	copy(b[chunkHeadSize-len(head):], head)
+	copy(b[chunkHeadSize+n:], "\r\n")
+	return b[chunkHeadSize-len(head) : chunkHeadSize+n+chunkTailSize]
 }
 
-// lastChunk ends a body in chunks.
+// lastChunk ends a body in chunked encoding.
 const lastChunk = "0\r\n\r\n"
 
-// message is the client's request as an upstream gets it, but for the first lines that are written for each attempt.
-// Method, path, query and body go on unchanged.
+// message is a client's request as it is forwarded to upstreams. Method, path, query and body are
+// unchanged; bytes writes the request line, Host and X-Deadline-Ms for each attempt.
 type message struct {
-	line   string // method and target
-	header http.Header
-	host   string
-	body   []byte  // as far as it is held
-	rest   *upload // what is not; nil: nothing
+	methodAndTarget string // as in the request line
+	header          http.Header
+	host            string
+	body            []byte  // the buffered part
+	rest            *upload // the streamed part; nil: none
 }
 
-// bytes renders m for an attempt that waits so long: in one piece where it is small, or without its body, which goes
-// behind it.
-func (m *message) bytes(wait time.Duration) (head, tail []byte) {
-	b := buffers.Get().(*bytes.Buffer)
-	defer buffers.Put(b)
+// bytes renders m for an attempt with the given timeout. A small buffered body is part of head. Otherwise
+// it is returned as tail, to be written after head.
+func (m *message) bytes(timeout time.Duration) (head, tail []byte) {
+	b := headBuffers.Get().(*bytes.Buffer)
+	defer headBuffers.Put(b)
 	b.Reset()
-	b.WriteString(m.line)
+	b.WriteString(m.methodAndTarget)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(m.host)
 	b.WriteString("\r\nX-Deadline-Ms: ")
-	b.WriteString(strconv.FormatInt(max(1, wait.Milliseconds()), 10))
+	b.WriteString(strconv.FormatInt(max(1, timeout.Milliseconds()), 10))
 	b.WriteString("\r\n")
-	m.header.WriteSubset(b, notEndToEnd) // a buffer takes all
+	m.header.WriteSubset(b, headersNotForwarded) // a bytes.Buffer returns no error
 	switch {
 	case m.rest != nil && m.rest.length < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	case m.rest != nil:
 		fmt.Fprintf(b, "Content-Length: %d\r\n", m.rest.length)
-	case len(m.body) > 0 || strings.HasPrefix(m.line, http.MethodPost):
+	case len(m.body) > 0 || strings.HasPrefix(m.methodAndTarget, http.MethodPost):
 		fmt.Fprintf(b, "Content-Length: %d\r\n", len(m.body))
 	}
 	b.WriteString("\r\n")
@@ -339,7 +352,7 @@
 	case m.rest != nil && m.rest.length < 0 && len(m.body) > 0:
 		fmt.Fprintf(b, "%x\r\n", len(m.body))
 		tail = m.body
-	case len(m.body) <= pieceSize:
+	case len(m.body) <= bodyBufferSize:
 		b.Write(m.body)
 	default:
 		tail = m.body
@@ -347,62 +360,63 @@
 	return bytes.Clone(b.Bytes()), tail
 }
 
-// upload is the part of a request's body that is not held. The client's side puts it into a pipe that one attempt reads,
-// so that the client is read no faster than the upstream reads.
+// upload is the streamed part of a request's body. The frontend writes it into a pipe that a single attempt
+// reads, so the client is read no faster than the upstream.
 type upload struct {
-	body   io.Reader // off the client's connection
-	length int64     // of the whole body; -1: chunks
-	in     *io.PipeReader
-	out    *io.PipeWriter
-	client net.Conn
-	taken  atomic.Bool // an attempt has begun to read it: no other one can
-	came   bool        // the client's side: its last byte has come
-	failed atomic.Pointer[error]
+	body     io.Reader // reads from the client's connection
+	length   int64     // of the whole body; -1: chunked
+	reader   *io.PipeReader
+	writer   *io.PipeWriter
+	client   net.Conn              // checked for a close by the client
+	started  atomic.Bool           // an attempt has begun to read it, so no other one can
+	complete bool                  // set by the frontend when the last byte has arrived
+	failure  atomic.Pointer[error] // passed to fail
 }
 
-// fail ends the body for the attempt that reads it, by a fault of the client's.
+// fail ends the body with an error of the client's, for the attempt that reads it.
 func (u *upload) fail(err error) {
-	u.failed.Store(&err)
-	u.out.CloseWithError(err)
+	u.failure.Store(&err)
+	u.writer.CloseWithError(err)
 }
 
-// fault returns the fault of the client's that has ended the body; nil: none, as with nothing to upload.
-func (u *upload) fault() error {
+// clientErr returns the error passed to fail, if any. u may be nil.
+func (u *upload) clientErr() error {
 	if u == nil {
 		return nil
 	}
-	if err := u.failed.Load(); err != nil {
+	if err := u.failure.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-// errUnread is what the client's side gets when nobody wants the rest of a body.
-var errUnread = errors.New("the rest of the body is not wanted")
+// errBodyUnwanted is returned to the frontend's writes when the rest of a body is not needed.
+var errBodyUnwanted = errors.New("rest of the request body not needed")
 
-// errHungUp is what the client's side gets when the client has closed its connection behind bytes that nobody has read.
-var errHungUp = errors.New("the client has closed its connection")
+// errClientClosed is returned to the frontend's writes when the client has closed its connection after body
+// bytes that have not been read.
+var errClientClosed = errors.New("client closed its connection")
 
-// abandoned tells whether the client has gone, and if so ends the client's side. Reading does not show it while bytes of
-// the body come first, and these are not read until an attempt takes them. The system tells of the close without reading,
-// but for one that waits behind more than the receive buffer takes.
-func (u *upload) abandoned() bool {
-	if !hungUp(u.client) {
+// clientClosed reports whether the client has closed its connection, and if so fails the frontend's writes.
+// Reading can't detect a close behind body bytes, which are not read until an attempt needs them. The state
+// of the TCP connection shows it, unless the unread bytes exceed the receive buffer.
+func (u *upload) clientClosed() bool {
+	if !closedByPeer(u.client) {
 		return false
 	}
-	u.in.CloseWithError(errHungUp)
+	u.reader.CloseWithError(errClientClosed)
 	return true
 }
 
-// The states of a TCP connection in which the other side has ended it, as include/net/tcp_states.h of Linux numbers them.
+// States of a TCP connection that the peer has ended, as numbered in Linux's include/net/tcp_states.h.
 const (
-	tcpClose     = 7 // by a reset
-	tcpCloseWait = 8 // by a close
+	tcpClose     = 7 // after a reset
+	tcpCloseWait = 8 // after a close
 	tcpStateMask = 0xff
 )
 
-// hungUp looks, without waiting or reading, whether the other side has closed or reset a connection.
-func hungUp(c net.Conn) bool {
+// closedByPeer reports whether the peer has closed or reset a connection, without blocking or reading.
+func closedByPeer(c net.Conn) bool {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
@@ -417,5 +431,5 @@
 	return err != nil || state == tcpClose || state == tcpCloseWait
 }
 
-// end tells the client's side that the rest is not wanted. After the last byte it has no effect.
-func (u *upload) end() { u.in.CloseWithError(errUnread) }
+// cancel fails the frontend's writes because the rest is not needed. It has no effect after the last byte.
+func (u *upload) cancel() { u.reader.CloseWithError(errBodyUnwanted) }
