--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -38,7 +38,7 @@
 	debug.SetGCPercent(400)
 	limit := int64(c.MemoryMB) << 20 * 6 / 10
 	debug.SetMemoryLimit(limit)
-	c.Overlap = func(on bool) { // two processes have the memory of one
+	c.OnOverlap = func(on bool) { // two processes have the memory of one
 		if on {
 			debug.SetMemoryLimit(limit / 2)
 		} else {
@@ -46,7 +46,7 @@
 		}
 	}
 	name := c.Name // c is not held on to: it has the plan of the start
-	slog.Info("starting", "name", name, "listen", c.Listen, "known", len(c.Known.Members), "configuration", c.Hash)
+	slog.Info("starting", "name", name, "listen", c.Listen, "known", len(c.CachedList.Members), "configuration", c.Hash)
 	listener, err := proxy.Listen(&c)
 	if err != nil {
 		return err
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -18,35 +18,35 @@
 )
 
 // firstInherited is the first descriptor behind standard input, output and error.
-const firstInherited = 3
+const minInheritedFD = 3
 
 // Config is what a balancer is told at its start.
 type Config struct {
-	Name      string
-	Listen    string // host:port for clients
-	Discovery string // host:port of discovery
-	Operator  string // host:port for operators; empty: no admin listener
-	StateDir  string // where what operators called for is kept
-	Inherited int    // descriptor of the clients' listening socket; 0: this process listens itself
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Known     listing // the upstreams as last held, maybe stale
-	Plan      *garnettide.Plan
-	Links     wire.Links
-	Hash      string // of the file as it was read: the first twelve hex digits of its SHA-256
+	Name         string
+	Listen       string // host:port for clients
+	Discovery    string // host:port of discovery
+	Operator     string // host:port for operators; empty: no admin listener
+	StateDir     string // where what operators called for is kept
+	InheritedFD  int    // descriptor of the clients' listening socket; 0: this process listens itself
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
+	CachedList   discoveryList // the upstreams as last held, maybe stale
+	Plan         *garnettide.Plan
+	ConnTimeouts wire.Links
+	Hash         string // of the file as it was read: the first twelve hex digits of its SHA-256
 	// SettingsInForce, if set, is called on the loop when a configuration that was read again is in force, with its Hash
 	// and the time since its signal.
-	SettingsInForce func(hash string, took time.Duration)
+	OnConfigApplied func(hash string, took time.Duration)
 	// Overlap, if set, is called when another process of this balancer begins or ends to live beside this one.
-	Overlap func(on bool)
+	OnOverlap func(on bool)
 	// ListInForce, if set, is called on the loop each time a list of discovery has been applied, with its revision. It must
 	// not wait.
-	ListInForce func(revision uint64)
+	OnListApplied func(revision uint64)
 }
 
 // file is the configuration file's form, but for what is decoded part by part.
-type file struct {
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -68,9 +68,9 @@
 }
 
 // parseConfig checks a configuration, in slices.
-func parseConfig(getenv func(string) string, text io.Reader, hash string, work *slicer) (Config, error) {
+func parseConfig(getenv func(string) string, text io.Reader, hash string, slicer *workSlicer) (Config, error) {
 	path := getenv("RELAY_CONFIG")
-	c, err := decodeConfig(text, work, func(f *file) {
+	c, err := decodeConfig(text, slicer, func(f *configFile) {
 		for name, to := range map[string]*string{"RELAY_NAME": &f.Name, "RELAY_LISTEN": &f.Listen,
 			"RELAY_DISCOVERY": &f.Discovery, "RELAY_OPERATOR": &f.Operator} {
 			if v := getenv(name); v != "" {
@@ -86,7 +86,7 @@
 		c.StateDir = os.TempDir()
 	}
 	if fd := getenv("RELAY_INHERITED_FD"); fd != "" {
-		if c.Inherited, err = strconv.Atoi(fd); err != nil || c.Inherited < firstInherited {
+		if c.InheritedFD, err = strconv.Atoi(fd); err != nil || c.InheritedFD < minInheritedFD {
 			return Config{}, fmt.Errorf("RELAY_INHERITED_FD: %q is no descriptor of a listening socket", fd)
 		}
 	}
@@ -94,19 +94,19 @@
 }
 
 // decodeConfig decodes and checks a configuration, with what goes before the file's own words put in by override.
-func decodeConfig(text io.Reader, work *slicer, override func(*file)) (Config, error) {
+func decodeConfig(text io.Reader, slicer *workSlicer, override func(*configFile)) (Config, error) {
 	var c Config
-	var f file
+	var f configFile
 	var settings garnettide.Settings
 	var plan *garnettide.PlanBuilder
-	d := wire.NewDecoder(text, work.step)
+	d := wire.NewDecoder(text, slicer.step)
 	err := d.Object(func(key string) (err error) {
 		switch {
 		case strings.EqualFold(key, "known"):
-			err = decodeKnown(d, &c.Known)
+			err = decodeKnown(d, &c.CachedList)
 		case strings.EqualFold(key, "settings"):
 			plan = garnettide.NewPlanBuilder()
-			settings, c.Links, err = d.Settings(plan.AddClass, plan.AddTenant)
+			settings, c.ConnTimeouts, err = d.Settings(plan.AddClass, plan.AddTenant)
 		default:
 			err = d.Field(key, &f)
 		}
@@ -119,13 +119,13 @@
 		return c, err
 	}
 	override(&f)
-	if err := f.check(&c); err != nil {
+	if err := f.validateInto(&c); err != nil {
 		return c, err
 	}
 	if plan == nil {
 		return c, errors.New("settings are missing")
 	}
-	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
+	if c.ConnTimeouts.KeepAlive <= 0 || c.ConnTimeouts.ConnectTimeout <= 0 {
 		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
 	}
 	if c.Plan, err = plan.Plan(settings); err != nil {
@@ -135,7 +135,7 @@
 }
 
 // decodeKnown decodes and checks the list that was last held.
-func decodeKnown(d *wire.Decoder, known *listing) error {
+func decodeKnown(d *wire.Decoder, known *discoveryList) error {
 	var head struct {
 		Revision uint64 `json:"revision"`
 		Complete bool   `json:"complete"`
@@ -154,7 +154,7 @@
 				return err
 			}
 			known.Members = append(known.Members, m)
-			return m.check()
+			return m.validate()
 		})
 	})
 	if known.Revision, known.Complete = head.Revision, head.Complete; err != nil {
@@ -164,7 +164,7 @@
 }
 
 // check checks what was read and puts it into c.
-func (f *file) check(c *Config) error {
+func (f *configFile) validateInto(c *Config) error {
 	c.Name, c.Listen, c.Discovery, c.Operator = f.Name, f.Listen, f.Discovery, f.Operator
 	c.MemoryMB, c.Sockets = f.Limits.MemoryMB, f.Limits.Sockets
 	var err error
@@ -195,9 +195,9 @@
 // discovery, the admin listener and what is being closed. The rest is for clients, whose connections are more than
 // their requests.
 
-func (c *Config) upstreamConns() int { return c.Sockets / 3 }
-func (c *Config) clientConns() int {
-	return c.Sockets - c.upstreamConns() - max(c.Sockets/16, 16) - c.adminConns()
+func (c *Config) maxUpstreamConns() int { return c.Sockets / 3 }
+func (c *Config) maxClientConns() int {
+	return c.Sockets - c.maxUpstreamConns() - max(c.Sockets/16, 16) - c.adminConns()
 }
 
 // adminConns is what the admin listener may hold: its listener and its calls.
@@ -210,4 +210,4 @@
 
 // held is how much of bodies may be held at once: a quarter of the memory, beside the program, its connections and what
 // the collector leaves lying.
-func (c *Config) held() int64 { return int64(c.MemoryMB) << 20 / 4 }
+func (c *Config) bodyMemory() int64 { return int64(c.MemoryMB) << 20 / 4 }
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -38,8 +38,8 @@
 	}
 	want(t, "name", c.Name, "n4")
 	want(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
-	want(t, "known", c.Known.Revision, uint64(41))
-	want(t, "keep-alive", c.Links.KeepAlive, time.Minute)
+	want(t, "known", c.CachedList.Revision, uint64(41))
+	want(t, "keep-alive", c.ConnTimeouts.KeepAlive, time.Minute)
 	classes, _ := c.Plan.Size()
 	want(t, "classes", classes, 3)
 }
@@ -94,11 +94,11 @@
 }
 
 func TestNames(t *testing.T) {
-	n := newNames()
+	n := newUpstreamIDs()
 	want(t, "hex", n.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
 	want(t, "the same again", n.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
 	other := n.id("5be2a07c.example")
-	want(t, "another form", other, hashed("5be2a07c.example"))
+	want(t, "another form", other, hashText("5be2a07c.example"))
 	seen := map[garnettide.UpstreamID]string{}
 	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
 		id := n.id(text)
@@ -142,7 +142,7 @@
 		{"negative", []string{"load_share=-0.5"}, garnettide.Load{}},
 		{"more than all cores", []string{"load_share=61"}, garnettide.Load{}},
 	} {
-		want(t, c.name, loadOf(c.reports), c.want)
+		want(t, c.name, parseLoad(c.reports), c.want)
 	}
 }
 
@@ -155,14 +155,14 @@
 	l := newLoop(t.Context(), &c)
 	l.maxConns = 0
 	l.start(&c, nil)
-	r := &request{at: l.now(), reply: make(chan answer, 1)}
+	r := &request{at: l.now(), responseCh: make(chan answer, 1)}
 	r.Class, r.Budget = "checkin", time.Second
-	arrived{r}.apply(l)
-	l.settle()
+	requestReceived{r}.apply(l)
+	l.reportPending()
 	if len(r.attempts) == 0 {
 		t.Fatal("no attempt was made")
 	}
-	want(t, "attempts owed", r.out, 0)
-	want(t, "written", r.attempts[0].stage.Load(), dropped)
-	want(t, "connections", l.conns, 0)
+	want(t, "attempts owed", r.inFlight, 0)
+	want(t, "written", r.attempts[0].stage.Load(), attemptDropped)
+	want(t, "connections", l.connCount, 0)
 }
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -4,19 +4,19 @@
 
 // Control is a balancer's control alone: its loop, its module and its client of discovery, with the reload path and without
 // clients. A scale run holds many of them in one process, to measure what a balancer spends without traffic.
-type Control struct {
-	end  context.CancelFunc
-	done chan struct{} // closed once the loop has ended
+type ControlLoop struct {
+	cancel context.CancelFunc
+	done   chan struct{} // closed once the loop has ended
 }
 
 // StartControl starts control as Run does. It ends with ctx or by Stop. Each configuration from reloads, which a Reloader
 // makes, takes the place of the one before.
-func StartControl(ctx context.Context, c Config, reloads <-chan Reload) *Control {
-	life, end := context.WithCancel(ctx)
-	l := newLoop(life, &c)
+func StartControlLoop(ctx context.Context, c Config, reloads <-chan Reload) *ControlLoop {
+	loopCtx, cancel := context.WithCancel(ctx)
+	l := newLoop(loopCtx, &c)
 	l.start(&c, nil)
-	c.Plan, c.Known = nil, listing{} // others hold what is in force
-	control := &Control{end: end, done: make(chan struct{})}
+	c.Plan, c.CachedList = nil, discoveryList{} // others hold what is in force
+	control := &ControlLoop{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(control.done)
 		l.run()
@@ -25,8 +25,8 @@
 		for {
 			select {
 			case x := <-reloads:
-				l.post(reloaded{Reload: x})
-			case <-life.Done():
+				l.post(configReloaded{Reload: x})
+			case <-loopCtx.Done():
 				return
 			}
 		}
@@ -35,7 +35,7 @@
 }
 
 // Stop ends control and waits until its loop has ended. Calls to discovery that are open break off.
-func (c *Control) Stop() {
-	c.end()
+func (c *ControlLoop) Stop() {
+	c.cancel()
 	<-c.done
 }
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -23,10 +23,10 @@
 
 // followSilent follows a discovery that gives the same answer to each call and then nothing. It returns how long the
 // call was to wait, what was heard, and after how long.
-func followSilent(t *testing.T, answer string) (wait time.Duration, x listed, took time.Duration) {
-	heard, waits := make(chan listed, 1), make(chan time.Duration, 1)
-	d := newDiscovery(t.Context(), "127.0.0.1:8500", func(x listed) { heard <- x })
-	defer d.end()
+func followSilent(t *testing.T, answer string) (wait time.Duration, x listUpdate, took time.Duration) {
+	heard, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
+	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(x listUpdate) { heard <- x })
+	defer d.shutdown()
 	d.client.Transport = &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
 		go func() {
@@ -39,7 +39,7 @@
 		}()
 		return ours, nil
 	}}
-	d.hold(10)
+	d.recordRevision(10)
 	began := time.Now()
 	go d.watch(t.Context())
 	x = <-heard
@@ -62,15 +62,15 @@
 		"cut short":        {`{"revision":11,"complete":true,"members":[` + one + `,`, false},
 		"a bad entry":      {`{"revision":11,"complete":true,"members":[` + one + `,{"id":"s-2","phase":"up"}]}`, false},
 		"something behind": {`{"revision":11,"complete":true,"members":[` + one + `]}]`, false},
-		"without an end":   {`{"revision":11,"complete":true,"members":[` + one + strings.Repeat(" ", maxListing), false},
+		"without an end":   {`{"revision":11,"complete":true,"members":[` + one + strings.Repeat(" ", maxListBytes), false},
 		"no object":        {`[]`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, c.text) }))
 			defer s.Close()
-			d := newDiscovery(t.Context(), s.Listener.Addr().String(), nil)
-			defer d.end()
-			_, err := d.call(t.Context(), d.url, callPatience)
+			d := newDiscoveryClient(t.Context(), s.Listener.Addr().String(), nil)
+			defer d.shutdown()
+			_, err := d.call(t.Context(), d.url, discoveryCallTimeout)
 			want(t, "taken", err == nil, c.ok)
 		})
 	}
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				wait, x, took := followSilent(t, answer)
-				if !errors.Is(x.err, errSilent) || took < wait || took > wait+toldAfter/2 {
+				if !errors.Is(x.err, errWatchSilent) || took < wait || took > wait+toldAfter/2 {
 					t.Errorf("%v after %v; what it misses counts as told after %v", x.err, took, wait+toldAfter)
 				}
 			})
@@ -104,7 +104,7 @@
 			found = append(found, took)
 		}
 		slices.Sort(found)
-		if spread := found[len(found)-1] - found[0]; spread < watchWait/5 {
+		if spread := found[len(found)-1] - found[0]; spread < discoveryWatchTimeout/5 {
 			t.Errorf("all within %v", spread)
 		}
 	})
@@ -124,13 +124,13 @@
 		list = append(list, up(fmt.Sprintf("s-%08x", 0x9e3779b9*uint32(i)), s))
 	}
 	<-b.registry.calls
-	b.registry.answers <- listing{Revision: 11, Complete: true, Members: list}
+	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: list}
 	var leaving []member
 	for _, m := range list[:fleet/2] {
 		leaving = append(leaving, draining(m))
 	}
 	<-b.registry.calls
-	b.registry.answers <- listing{Revision: 12, Members: leaving}
+	b.registry.answers <- discoveryList{Revision: 12, Members: leaving}
 	want(t, "call behind the changes", since(<-b.registry.calls), "since=12")
 	for range 20 {
 		status, _ := b.do(t, b.ask("checkin", ""))
@@ -138,12 +138,12 @@
 	}
 	b.loopSays(func(l *loop) bool {
 		usable := 0
-		for _, p := range l.peers {
+		for _, p := range l.upstreams {
 			if l.usable(p) {
 				usable++
 			}
 		}
-		want(t, "servers", len(l.peers), fleet)
+		want(t, "servers", len(l.upstreams), fleet)
 		want(t, "servers in use", usable, fleet/2)
 		return true
 	})
@@ -152,5 +152,5 @@
 	if runtime.ReadMemStats(&m); m.HeapAlloc > 16<<20 {
 		t.Errorf("%d MB of heap are live, of 32", m.HeapAlloc>>20)
 	}
-	want(t, "descriptors fit", b.config.upstreamConns()+b.config.clientConns() < 256, true)
+	want(t, "descriptors fit", b.config.maxUpstreamConns()+b.config.maxClientConns() < 256, true)
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -144,8 +144,8 @@
 }
 
 func newFrontend(c *Config, listener net.Listener, l *loop) *frontend {
-	f := &frontend{held: &l.held, now: l.now, post: l.post, listener: listener,
-		shared: c.Inherited != 0, room: c.clientConns(), clients: map[*client]struct{}{}}
+	f := &frontend{held: &l.memory, now: l.now, post: l.post, listener: listener,
+		shared: c.InheritedFD != 0, room: c.maxClientConns(), clients: map[*client]struct{}{}}
 	f.plan.Store(c.Plan)
 	return f
 }
@@ -378,9 +378,9 @@
 	}
 	if q.message.rest == nil { // its client may have left while the request waited to be read
 		c.SetReadDeadline(time.Time{}) // the request's
-		if err := quiet(c.pace.Conn); err != nil {
+		if err := checkNoInput(c.pace.Conn); err != nil {
 			f.held.give(q.message.body)
-			if errors.Is(err, errUnasked) {
+			if errors.Is(err, errUnexpectedBytes) {
 				f.turnAway(c, errAhead)
 			}
 			return false
@@ -388,11 +388,11 @@
 	}
 	q.Budget = f.budget(q.Budget)
 	w := f.watch(c, q)
-	f.post(arrived{q})
+	f.post(requestReceived{q})
 	a, err := w.await()
 	if err != nil { // the client has gone, or what it sends is no request
-		q.gone.Store(true)
-		f.post(left{q})
+		q.clientGone.Store(true)
+		f.post(clientLeft{q})
 		f.turnAway(c, err)
 		return false
 	}
@@ -448,7 +448,7 @@
 // await waits for the answer, or for the client to go or to send what is no request, which is the error.
 func (w *watcher) await() (answer, error) {
 	select {
-	case a := <-w.q.reply:
+	case a := <-w.q.responseCh:
 		// A fault of the body ends its attempt too. The module's answer to that may be here first, and would tell the
 		// client that another try is harmless.
 		if fault := w.q.message.rest.fault(); fault != nil && a.status != http.StatusOK {
@@ -462,7 +462,7 @@
 			return answer{}, err
 		}
 		w.ended <- err
-		return <-w.q.reply, nil
+		return <-w.q.responseCh, nil
 	}
 }
 
@@ -497,7 +497,7 @@
 		}
 		if err == io.EOF {
 			rest.came = true
-			f.post(whole{q, f.now(), f.budget(q.Budget)})
+			f.post(bodyReceived{q, f.now(), f.budget(q.Budget)})
 			rest.out.Close()
 			return nil
 		} else if err != nil {
@@ -532,7 +532,7 @@
 		}
 	}()
 	err := c.copy(r, kind, last)
-	r.end <- err
+	r.done <- err
 	return err
 }
 
@@ -542,15 +542,15 @@
 	if !inChunks {
 		framing = fmt.Sprintf("Content-Length: %d\r\n", r.length)
 	}
-	if err := push(c, head(answer{status: http.StatusOK, kind: kind}, framing, last)); err != nil {
+	if err := writeFully(c, head(answer{status: http.StatusOK, kind: kind}, framing, last)); err != nil {
 		return err
 	}
 	p := pieces.Get().(*piece)
 	defer pieces.Put(p)
-	for held := r.held; len(held) > 0; {
+	for held := r.buffered; len(held) > 0; {
 		n := copy(p.space(), held)
 		held = held[n:]
-		if err := push(c, p.framed(n, inChunks)); err != nil {
+		if err := writeFully(c, p.framed(n, inChunks)); err != nil {
 			return err
 		}
 	}
@@ -558,12 +558,12 @@
 		r.conn.SetReadDeadline(time.Now().Add(bodyIdleTimeout))
 		n, err := r.body.Read(p.space())
 		if n > 0 {
-			if err := push(c, p.framed(n, inChunks)); err != nil {
+			if err := writeFully(c, p.framed(n, inChunks)); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF && inChunks {
-			return push(c, []byte(lastChunk))
+			return writeFully(c, []byte(lastChunk))
 		} else if err == io.EOF {
 			return nil
 		} else if err != nil {
@@ -659,12 +659,12 @@
 func (c *client) write(a answer, last bool) error {
 	b := head(a, fmt.Sprintf("Content-Length: %d\r\n", len(a.body)), last)
 	if len(a.body) <= pieceSize {
-		return push(c, append(b, a.body...))
+		return writeFully(c, append(b, a.body...))
 	}
-	if err := push(c, b); err != nil {
+	if err := writeFully(c, b); err != nil {
 		return err
 	}
-	return push(c, a.body)
+	return writeFully(c, a.body)
 }
 
 // once names the fields of which a second one would leave open which of them counts.
@@ -785,7 +785,7 @@
 	case (class.Idempotency == garnettide.IdempotentByKey) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
 		return nil, bad("Idempotency-Key does not fit the class")
 	}
-	q := &request{name: id, reply: make(chan answer, 1)}
+	q := &request{clientRequestID: id, responseCh: make(chan answer, 1)}
 	q.Class, q.ClassSettings, q.Tenant, q.Retry = class.Name, class, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
 	q.Budget = class.Deadline
 	if len(h["X-Deadline-Ms"]) > 0 {
@@ -809,7 +809,7 @@
 	if c, err := (&http.Request{Header: http.Header(h)}).Cookie("obj"); err == nil {
 		q.HasKey = true
 		if q.Key, err = strconv.ParseUint(c.Value, 16, 64); err != nil {
-			q.Key = uint64(hashed(c.Value))
+			q.Key = uint64(hashText(c.Value))
 		}
 	}
 	for _, named := range h["Connection"] { // fields that the client meant for this connection only
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -39,7 +39,7 @@
 
 // Listen returns the clients' listener: the inherited one if there is one.
 func Listen(c *Config) (net.Listener, error) {
-	if c.Inherited == 0 {
+	if c.InheritedFD == 0 {
 		l, err := net.Listen("tcp", c.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("listening for clients: %w", err)
@@ -47,11 +47,11 @@
 		return l, nil
 	}
 	// A socket that does not listen would be taken for one, and show only when nobody can be accepted.
-	if on, err := syscall.GetsockoptInt(c.Inherited, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
-		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is no listening socket: %w", c.Inherited,
+	if on, err := syscall.GetsockoptInt(c.InheritedFD, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
+		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is no listening socket: %w", c.InheritedFD,
 			cmpError(err, syscall.EINVAL))
 	}
-	f := os.NewFile(uintptr(c.Inherited), "inherited listener")
+	f := os.NewFile(uintptr(c.InheritedFD), "inherited listener")
 	defer f.Close() // the listener has one of its own
 	l, err := net.FileListener(f)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d listens on %s, TCP is wanted", c.Inherited, l.Addr().Network())
+		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d listens on %s, TCP is wanted", c.InheritedFD, l.Addr().Network())
 	}
 	return l, nil
 }
@@ -91,7 +91,7 @@
 
 // openStateFile reads what the process before has left. A file that can't be used is reported and no more: the start goes on.
 func openStateFile(c *Config) (*stateFile, error) {
-	b := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.Inherited != 0}
+	b := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.InheritedFD != 0}
 	for try := 0; b.shared && b.life == nil && try < 10*livesMost; try++ { // another one's look lasts for a moment
 		b.place = try % livesMost
 		var err error
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -56,7 +56,7 @@
 	}
 	for what, fd := range map[string]int{"a connection": inherit(t, c.(*net.TCPConn)), "a file": plain,
 		"a packet socket": inherit(t, packets.(*net.UDPConn)), "nothing": 1 << 20} {
-		if l, err := Listen(&Config{Inherited: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
+		if l, err := Listen(&Config{InheritedFD: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
 			t.Errorf("%s: got %v, %v", what, l, err)
 		}
 	}
@@ -65,7 +65,7 @@
 			t.Errorf("RELAY_INHERITED_FD=%q is taken", fd)
 		}
 	}
-	heir, err := Listen(&Config{Inherited: inherit(t, l.(*net.TCPListener))})
+	heir, err := Listen(&Config{InheritedFD: inherit(t, l.(*net.TCPListener))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 
 func openTestStateFile(t *testing.T, dir string) *stateFile {
 	t.Helper()
-	b, err := openStateFile(&Config{Name: "n/0", StateDir: dir, Inherited: 4})
+	b, err := openStateFile(&Config{Name: "n/0", StateDir: dir, InheritedFD: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 				o.Offline, o.OutOfService = append(o.Offline, id), id == "s-00000002"
 			})
 		}()
-		return <-h.calls
+		return <-h.adminCalls
 	}
 	first := order("s-00000001")
 	second := order("s-00000002")
@@ -176,7 +176,7 @@
 	for range 2 {
 		want(t, "a call's answer", <-said, nil)
 	}
-	want(t, "left out", len(h.off), 2)
+	want(t, "left out", len(h.inMaintenance), 2)
 	want(t, "drained", d.front.parting(), true)
 }
 
@@ -185,7 +185,7 @@
 	t.Helper()
 	admin := freeAddress(t)
 	heir := newBalancerWith(t, func(c *Config) {
-		c.Operator, c.StateDir, c.Inherited = admin, b.config.StateDir, inherit(t, l.(*net.TCPListener))
+		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, inherit(t, l.(*net.TCPListener))
 	}, members...)
 	heir.url = "http://" + l.Addr().String()
 	return heir
@@ -215,7 +215,7 @@
 	members := []member{up("s-00000001", s), up("s-00000002", worked)}
 	first := &balancer{config: Config{StateDir: t.TempDir()}}
 	old := first.succeed(t, l, members...)
-	old.registry.answers <- listing{Revision: 11, Complete: true, Members: members}
+	old.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	old.until(t, "ready", func() bool { return old.call(t, "GET", "/control/ready") == 200 })
 	want(t, "out", old.call(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
 
@@ -225,7 +225,7 @@
 	heir := old.succeed(t, l, members...)
 	heir.until(t, "an admin listener that says no without a list", func() bool { return heir.call(t, "GET", "/control/ready") == 503 })
 	want(t, "it asks for the whole list, which is told at once", <-heir.registry.calls, "")
-	heir.registry.answers <- listing{Revision: 11, Complete: true, Members: members}
+	heir.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	heir.until(t, "the new one is ready", func() bool { return heir.call(t, "GET", "/control/ready") == 200 })
 	// Told to the new one while both take connections: it holds in both from the yes on.
 	want(t, "drain", heir.call(t, "PUT", "/control/out-of-service"), 200)
@@ -284,7 +284,7 @@
 		t.Fatal(err)
 	}
 	b := first.succeed(t, l, members...)
-	b.registry.answers <- listing{Revision: 11, Complete: true, Members: members}
+	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.until(t, "ready", func() bool { return b.call(t, "GET", "/control/ready") == 200 })
 	want(t, "health", b.health(t), 503)
 	want(t, "back, of one that no list names now", b.call(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Known = listing{}
+	c.CachedList = discoveryList{}
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
 	l.Watch(false) // nothing listens there
@@ -33,32 +33,32 @@
 }
 
 func (h *hand) list(revision uint64, members ...member) {
-	h.hear(listed{from: h.discovery, listing: listing{Revision: revision, Complete: true, Members: members}})
+	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
 }
 
 // ask sends a request and turns the loop until it is answered and its attempts are over.
 func (h *hand) ask(name string, budget time.Duration) answer {
 	h.t.Helper()
-	r := &request{name: name, at: h.now(), reply: make(chan answer, 1)}
+	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan answer, 1)}
 	r.Class, r.Budget = "checkin", budget
 	r.message = message{line: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
-	arrived{r}.apply(h.loop)
-	h.settle()
+	requestReceived{r}.apply(h.loop)
+	h.reportPending()
 	for len(h.requests) > 0 || h.busy() {
 		select {
 		case e := <-h.events:
 			e.apply(h.loop)
-			h.settle()
+			h.reportPending()
 		case <-time.After(10 * time.Second):
 			h.t.Fatal("nothing happens")
 		}
 	}
-	return <-r.reply
+	return <-r.responseCh
 }
 
 func (h *hand) busy() bool {
-	for _, p := range h.peers {
-		if len(p.out) > 0 {
+	for _, p := range h.upstreams {
+		if len(p.inFlight) > 0 {
 			return true
 		}
 	}
@@ -84,20 +84,20 @@
 		}
 	}
 	want(t, "connections opened", s.opened(), ids)
-	want(t, "upstreams", len(h.peers), 1)
-	want(t, "numbers", len(h.names.ids), 1)
-	want(t, "numbers taken", len(h.names.taken), 1)
+	want(t, "upstreams", len(h.upstreams), 1)
+	want(t, "numbers", len(h.upstreamIDs.ids), 1)
+	want(t, "numbers taken", len(h.upstreamIDs.taken), 1)
 	want(t, "requests", len(h.requests), 0)
-	want(t, "their ids", len(h.open), 0)
-	want(t, "connections", h.conns, 1)
-	h.epoch += 5 * time.Second // all deadlines are over
-	h.ring()
-	if n := len(h.alarms); n > 5 { // the module's own timers
+	want(t, "their ids", len(h.openIDs), 0)
+	want(t, "connections", h.connCount, 1)
+	h.clockBase += 5 * time.Second // all deadlines are over
+	h.fireTimers()
+	if n := len(h.timers); n > 5 { // the module's own timers
 		t.Errorf("alarms: %d are left", n)
 	}
 	h.list(90000, draining(up("s-0fffffff", s)))
-	h.hear(listed{from: h.discovery, listing: listing{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
-	want(t, "numbers after the removal of what was never listed", len(h.names.ids), 1)
+	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
+	want(t, "numbers after the removal of what was never listed", len(h.upstreamIDs.ids), 1)
 }
 
 // At the bound of connections the one that idles longest makes room, at whatever upstream: the one that is asked is not
@@ -114,7 +114,7 @@
 			t.Fatal("the second upstream is never asked")
 		}
 		want(t, "next", h.ask(fmt.Sprint("a", i), time.Second).status, 200)
-		want(t, "connections", h.conns, 1)
+		want(t, "connections", h.connCount, 1)
 	}
 }
 
@@ -124,7 +124,7 @@
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		ok(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
-			time.Sleep(restFor / 2) // later than the answer, sooner than the connection has rested
+			time.Sleep(connReuseDelay / 2) // later than the answer, sooner than the connection has rested
 			ok(c, "1")
 			copied <- struct{}{}
 		}
@@ -144,11 +144,11 @@
 	h := newHand(t)
 	h.list(20, up("s-00000001", s))
 	want(t, "first", h.ask("1", time.Second).status, 200)
-	p := h.peers[h.names.id("s-00000001")]
-	since := p.idle[0].idleAt
-	c, _ := h.connection(p, since+4*time.Millisecond)
+	p := h.upstreams[h.upstreamIDs.id("s-00000001")]
+	since := p.idleConns[0].idleAt
+	c, _ := h.acquireConn(p, since+4*time.Millisecond)
 	want(t, "used within the rest", c != nil, false)
-	c, _ = h.connection(p, since+restFor)
+	c, _ = h.acquireConn(p, since+connReuseDelay)
 	want(t, "used behind it", c != nil, true)
 }
 
@@ -158,19 +158,19 @@
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
 	h := newHand(t)
 	h.list(20, up("s-00000001", s))
-	r := &request{name: "1", at: h.now(), reply: make(chan answer, 1)}
+	r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan answer, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
 	r.message = message{line: "POST /checkin", host: "x", header: http.Header{}}
-	arrived{r}.apply(h.loop)
-	h.settle()
+	requestReceived{r}.apply(h.loop)
+	h.reportPending()
 	<-s.arrivals
 	h.list(21, up("s-00000002", s))
-	want(t, "upstreams while it is out", len(h.peers), 2)
+	want(t, "upstreams while it is out", len(h.upstreams), 2)
 	close(release)
 	(<-h.events).apply(h.loop)
-	want(t, "answer", (<-r.reply).status, 200)
-	want(t, "upstreams", len(h.peers), 1)
-	want(t, "connections", h.conns, 0)
+	want(t, "answer", (<-r.responseCh).status, 200)
+	want(t, "upstreams", len(h.upstreams), 1)
+	want(t, "connections", h.connCount, 0)
 }
 
 // An attempt for which there is no connection was never sent, through no fault of the upstream's.
@@ -180,14 +180,14 @@
 	s := newServer(t, okAll)
 	h.list(20, up("s-00000001", s))
 	want(t, "status", h.ask("1", time.Second).status, http.StatusServiceUnavailable)
-	want(t, "connections", h.conns, 0)
+	want(t, "connections", h.connCount, 0)
 	want(t, "upstreams asked", s.opened(), 0)
 }
 
 // lateConns makes new connections come up only once they are let: begun tells of each that waits.
 func (h *hand) lateConns() (begun chan string, let chan struct{}) {
 	begun, let = make(chan string, 10), make(chan struct{})
-	h.dial.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
+	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		begun <- address
 		<-let
 		return net.DialTimeout(network, address, timeout)
@@ -201,7 +201,7 @@
 	select {
 	case e := <-h.events:
 		e.apply(h.loop)
-		h.settle()
+		h.reportPending()
 	case <-time.After(10 * time.Second):
 		h.t.Fatal("nothing happens")
 	}
@@ -209,11 +209,11 @@
 
 // begin hands the loop a request and does not wait for its end.
 func (h *hand) begin(class, name string, budget time.Duration) *request {
-	r := &request{name: name, at: h.now(), reply: make(chan answer, 1)}
+	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan answer, 1)}
 	r.Class, r.Budget = class, budget
 	r.message = message{line: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
-	arrived{r}.apply(h.loop)
-	h.settle()
+	requestReceived{r}.apply(h.loop)
+	h.reportPending()
 	return r
 }
 
@@ -221,14 +221,14 @@
 // the module gives it up, as its time runs out or as its client leaves is never written once the connection is up.
 func TestNothingIsSentOnceARequestIsOver(t *testing.T) {
 	for name, end := range map[string]func(h *hand, r *request){
-		"answered": func(h *hand, r *request) { h.answer(r, answer{status: http.StatusOK}) },
+		"answered": func(h *hand, r *request) { h.respond(r, answer{status: http.StatusOK}) },
 		"given up": func(h *hand, r *request) { h.Refuse(r.ID, 0) },
 		"out of time": func(h *hand, r *request) {
 			for !r.closed {
-				h.ring()
+				h.fireTimers()
 			}
 		},
-		"left": func(h *hand, r *request) { left{r}.apply(h.loop) },
+		"left": func(h *hand, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, okAll)
@@ -238,14 +238,14 @@
 			r := h.begin("read", "1", 100*time.Millisecond)
 			<-begun
 			end(h, r)
-			h.settle()
+			h.reportPending()
 			want(t, "over", r.closed, true)
 			close(let)
 			h.next() // the attempt's end, with its connection
 			want(t, "requests written", len(s.arrivals), 0)
-			want(t, "connections kept", h.conns, 1)
+			want(t, "connections kept", h.connCount, 1)
 			want(t, "requests open", len(h.requests), 0)
-			want(t, "outcomes that the module still waits for", r.out, 0)
+			want(t, "outcomes that the module still waits for", r.inFlight, 0)
 		})
 	}
 }
@@ -254,7 +254,7 @@
 func (h *hand) clock() *atomic.Int64 {
 	var clock atomic.Int64
 	clock.Store(int64(h.now()))
-	h.dial.now = func() time.Duration { return time.Duration(clock.Load()) }
+	h.transport.now = func() time.Duration { return time.Duration(clock.Load()) }
 	return &clock
 }
 
@@ -269,7 +269,7 @@
 	h := newHand(t)
 	up0, up1 := up("s-00000001", servers[0]), up("s-00000002", servers[1])
 	let := map[string]chan struct{}{servers[0].addr: make(chan struct{}), servers[1].addr: make(chan struct{})}
-	h.dial.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
+	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		<-let[address]
 		return net.DialTimeout(network, address, timeout)
 	}
@@ -277,7 +277,7 @@
 	h.list(20, up0)
 	r := h.begin("pay", "1", 4*time.Second)
 	h.list(21, up0, up1)
-	h.Send(r.ID, h.names.id(up1.ID), 0, window)
+	h.Send(r.ID, h.upstreamIDs.id(up1.ID), 0, window)
 	clock.Store(int64(r.attempts[1].sentAt))
 	close(let[servers[order[0]].addr])
 	<-servers[order[0]].arrivals
@@ -287,7 +287,7 @@
 	case <-servers[order[1]].arrivals:
 		return 2
 	case e := <-h.events: // it ended without
-		want(t, "how it ended", e.(finished).status, garnettide.NotSent)
+		want(t, "how it ended", e.(attemptFinished).status, garnettide.NotSent)
 		return 1
 	}
 }
@@ -321,7 +321,7 @@
 		h.list(20, up("s-00000001", s))
 		r := h.begin("read", "1", time.Second)
 		<-begun
-		clock.Store(int64(r.attempts[0].ends - time.Second + late))
+		clock.Store(int64(r.attempts[0].responseDeadline - time.Second + late))
 		close(let)
 		h.next()
 		if stated == "" {
@@ -336,12 +336,12 @@
 // one another.
 func TestListsGoBeforeWhatIsNotSent(t *testing.T) {
 	for name, turn := range map[string]func(h *hand, r *request){
-		"an event": func(h *hand, r *request) { h.handle(arrived{r}) },
+		"an event": func(h *hand, r *request) { h.handle(requestReceived{r}) },
 		"an alarm": func(h *hand, r *request) {
-			h.alarm(alarm{at: h.now(), request: &request{attempts: []*attempt{{told: true}}}})
-			h.ring()
-			arrived{r}.apply(h.loop)
-			h.settle()
+			h.addTimer(loopTimer{at: h.now(), request: &request{attempts: []*attempt{{reported: true}}}})
+			h.fireTimers()
+			requestReceived{r}.apply(h.loop)
+			h.reportPending()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -349,9 +349,9 @@
 			h := newHand(t)
 			one := up("s-00000001", s)
 			h.list(20, one)
-			h.lists <- listed{from: h.discovery, listing: listing{Revision: 21}}
-			h.lists <- listed{from: h.discovery, listing: listing{Revision: 22, Members: []member{draining(one)}}}
-			r := &request{name: "1", at: h.now(), reply: make(chan answer, 1)}
+			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
+			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{draining(one)}}}
+			r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan answer, 1)}
 			r.Class, r.Budget = "checkin", time.Second
 			r.message = message{line: "POST /checkin", host: "x", header: http.Header{}}
 			turn(h, r)
@@ -393,7 +393,7 @@
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-hold; return false })
 	h := newHand(t)
 	told, n := make(chan string, 10), 0
-	h.dial.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
+	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		c, err := net.DialTimeout(network, address, timeout)
 		if err != nil {
 			return nil, err
@@ -406,9 +406,9 @@
 	r := h.begin("read", "1", 4*time.Second)
 	want(t, "first", <-told, "1 written")
 	<-s.arrivals
-	h.end(r.attempts[0], garnettide.Timeout)
+	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	if len(r.attempts) == 1 { // the module waits for a turn
-		h.Send(r.ID, r.attempts[0].peer.id, 0, 0)
+		h.Send(r.ID, r.attempts[0].upstream.id, 0, 0)
 	}
 	want(t, "next", <-told, "1 given up")
 	want(t, "then", <-told, "2 written")
@@ -421,9 +421,9 @@
 	h.list(20, up("s-00000001", s))
 	r := h.begin("read", "1", 4*time.Second)
 	e := <-h.events // the answer, which the loop has not heard of
-	h.end(r.attempts[0], garnettide.Timeout)
+	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	e.apply(h.loop)
-	want(t, "connections kept", len(h.peers[r.attempts[0].peer.id].idle), 0)
+	want(t, "connections kept", len(h.upstreams[r.attempts[0].upstream.id].idleConns), 0)
 }
 
 // A watch that has fallen silent is opened anew at once, and so is the first one after discovery has moved: their news
@@ -433,12 +433,12 @@
 		happen  func(h *hand)
 		watches bool
 	}{
-		"silent": {func(h *hand) { h.hear(listed{from: h.discovery, err: errSilent}) }, true},
+		"silent": {func(h *hand) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
 		"moved": {func(h *hand) {
 			h.stopWatch = func() {} // one is open
-			reloaded{again(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
+			configReloaded{again(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
 		}, true},
-		"failed": {func(h *hand) { h.hear(listed{from: h.discovery, err: io.ErrUnexpectedEOF}) }, false},
+		"failed": {func(h *hand) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHand(t)
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -106,7 +106,7 @@
 		if err != nil || !bytes.Equal(body, q.message.body) || in.Buffered() > 0 || len(r.TransferEncoding) > 0 {
 			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more", passed, body, err, in.Buffered())
 		}
-		if r.Header.Get("X-Request-Id") != q.name || !strings.HasPrefix(q.message.line, r.Method+" "+r.RequestURI) {
+		if r.Header.Get("X-Request-Id") != q.clientRequestID || !strings.HasPrefix(q.message.line, r.Method+" "+r.RequestURI) {
 			t.Errorf("passed on %q", passed)
 		}
 	})
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -126,7 +126,7 @@
 func (d *adminServer) turn(ctx context.Context, do func(l *loop)) error {
 	e := called{do, make(chan struct{})}
 	select {
-	case d.loop.calls <- e:
+	case d.loop.adminCalls <- e:
 	case <-ctx.Done():
 		return fmt.Errorf("the call's turn did not come: %w", ctx.Err())
 	}
@@ -162,8 +162,8 @@
 func (d *adminServer) maintain(ctx context.Context, id string, out bool) error {
 	var known bool
 	if err := d.turn(ctx, func(l *loop) {
-		_, off := l.off[id]
-		known = off || l.ids.known[id]
+		_, off := l.inMaintenance[id]
+		known = off || l.recentIDs.known[id]
 	}); err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 		if err := d.turn(ctx, func(l *loop) {
 			o := d.state.held.Load()
 			d.front.drain(o.OutOfService)
-			written = l.obey(o.Offline)
+			written = l.applyMaintenance(o.Offline)
 		}); err != nil || written {
 			return err
 		}
@@ -252,12 +252,12 @@
 		parts = overlap
 	}
 	slog.Info("descriptors and memory are shared", "processes", parts)
-	d.front.limit(c.clientConns() / parts)
-	if err := d.turn(ctx, func(l *loop) { l.limit(c.upstreamConns() / parts) }); err != nil && ctx.Err() == nil {
+	d.front.limit(c.maxClientConns() / parts)
+	if err := d.turn(ctx, func(l *loop) { l.setConnLimit(c.maxUpstreamConns() / parts) }); err != nil && ctx.Err() == nil {
 		slog.Error("sharing descriptors", "err", err)
 	}
-	if c.Overlap != nil {
-		c.Overlap(on)
+	if c.OnOverlap != nil {
+		c.OnOverlap(on)
 	}
 }
 
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	admin, dir := freeAddress(t), t.TempDir()
 	b := newBalancerWith(t, func(c *Config) { c.Operator, c.StateDir = admin, dir }, members...)
-	b.registry.answers <- listing{Revision: 11, Complete: true, Members: members}
+	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.until(t, "ready", func() bool { return b.call(t, "GET", "/control/ready") == 200 })
 	return b
 }
@@ -145,9 +145,9 @@
 	l := b.config // the listing held from before is empty: nothing can be served by it
 	h := newLoop(t.Context(), &l)
 	want(t, "at first", h.missing() != "", true)
-	h.epoch -= 2 * listPatience
+	h.clockBase -= 2 * initialListTimeout
 	want(t, "with no list at all", h.missing() != "", true)
-	h.told = true
+	h.listReceived = true
 	want(t, "once told", h.missing(), "")
 }
 
@@ -264,9 +264,9 @@
 	want(t, "out", b.call(t, "PUT", odd+"offline"), 200)
 	want(t, "out again", b.call(t, "PUT", odd+"offline"), 200)
 	want(t, "left out", ask(20)[names[1]], 0)
-	b.registry.answers <- listing{Revision: 12, Complete: true, Members: members[:1]}
-	b.registry.answers <- listing{Revision: 13, Complete: true, Members: members}
-	b.registry.answers <- listing{Revision: 14} // it has heard of 13 when it asks again
+	b.registry.answers <- discoveryList{Revision: 12, Complete: true, Members: members[:1]}
+	b.registry.answers <- discoveryList{Revision: 13, Complete: true, Members: members}
+	b.registry.answers <- discoveryList{Revision: 14} // it has heard of 13 when it asks again
 	want(t, "left out, gone and listed again", ask(20)[names[1]], 0)
 	want(t, "out, all of them", b.call(t, "PUT", "/control/upstreams/s-00000001/offline"), 200)
 	start := time.Now()
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -26,9 +26,9 @@
 			for range 20 { // a select takes one of two at random
 				rest := &upload{}
 				rest.in, rest.out = io.Pipe()
-				w := &watcher{q: &request{reply: make(chan answer, 1), message: message{rest: rest}}, ended: make(chan error, 1)}
+				w := &watcher{q: &request{responseCh: make(chan answer, 1), message: message{rest: rest}}, ended: make(chan error, 1)}
 				rest.fail(errTooLarge)
-				w.q.reply <- answer{status: c.status}
+				w.q.responseCh <- answer{status: c.status}
 				if c.told {
 					w.ended <- errTooLarge
 				}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -12,47 +12,47 @@
 }
 
 // run is Run; made is told of the loop before it turns.
-func run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload, made func(*loop)) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	operators, err := listenForOperators(c.Operator)
+func run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload, onLoop func(*loop)) error {
+	loopCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	adminListener, err := listenForOperators(c.Operator)
 	if err != nil {
 		return err
 	}
-	l := newLoop(life, &c)
-	made(l)
-	f := newFrontend(&c, listener, l)
-	var b *stateFile
-	var held orders
-	if operators != nil { // who can be given no orders keeps none
-		if b, err = openStateFile(&c); err != nil {
+	l := newLoop(loopCtx, &c)
+	onLoop(l)
+	front := newFrontend(&c, listener, l)
+	var state *stateFile
+	var savedOrders orders
+	if adminListener != nil { // who can be given no orders keeps none
+		if state, err = openStateFile(&c); err != nil {
 			return err
 		}
-		defer b.close()
-		held = *b.held.Load()
+		defer state.close()
+		savedOrders = *state.held.Load()
 	}
-	l.start(&c, held.Offline)
-	c.Plan, c.Known = nil, listing{} // others hold what is in force
-	f.drain(held.OutOfService)
+	l.start(&c, savedOrders.Offline)
+	c.Plan, c.CachedList = nil, discoveryList{} // others hold what is in force
+	front.drain(savedOrders.OutOfService)
 	go l.run()
-	began := make(chan struct{})
-	served := make(chan error, 2)
-	if operators != nil {
-		d := newAdminServer(l, f, b)
-		defer d.end()
-		go func() { served <- d.serve(operators) }()
-		if b.shared {
-			go d.follow(life, &c, began)
+	mayAccept := make(chan struct{})
+	serveErrs := make(chan error, 2)
+	if adminListener != nil {
+		admin := newAdminServer(l, front, state)
+		defer admin.end()
+		go func() { serveErrs <- admin.serve(adminListener) }()
+		if state.shared {
+			go admin.follow(loopCtx, &c, mayAccept)
 		} else {
-			close(began)
+			close(mayAccept)
 		}
 	} else {
-		close(began)
+		close(mayAccept)
 	}
 	go func() { // beside an older process this one takes connections once it is ready
 		select {
-		case <-began:
-			served <- f.serve()
+		case <-mayAccept:
+			serveErrs <- front.serve()
 		case <-ctx.Done():
 		}
 	}()
@@ -60,14 +60,14 @@
 	for {
 		select {
 		case x := <-reloads: // also while what was taken is answered: discovery may be moving just then
-			l.post(reloaded{x, f})
-		case err := <-served:
+			l.post(configReloaded{x, front})
+		case err := <-serveErrs:
 			if done != nil {
 				return err
 			}
 		case <-done:
 			done = nil
-			go func() { f.stop(); close(stopped) }()
+			go func() { front.stop(); close(stopped) }()
 		case <-stopped:
 			return nil
 		}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -101,11 +101,11 @@
 type registry struct {
 	addr    string
 	calls   chan string // the query of each call
-	answers chan listing
+	answers chan discoveryList
 }
 
 func newRegistry(t *testing.T) *registry {
-	g := &registry{calls: make(chan string, 1000), answers: make(chan listing)}
+	g := &registry{calls: make(chan string, 1000), answers: make(chan discoveryList)}
 	stop := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.calls <- r.URL.RawQuery
@@ -232,7 +232,7 @@
 	s := newServer(t, okAll)
 	b := newBalancer(t, up("s-00000001", s))
 	for _, class := range []string{"pay", "checkin"} {
-		time.Sleep(2 * restFor) // or the second one would not use the connection again
+		time.Sleep(2 * connReuseDelay) // or the second one would not use the connection again
 		q := b.ask(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
 		status, body := b.do(t, q)
 		want(t, "status", status, 200)
@@ -263,15 +263,15 @@
 				n++ // one connection at a time
 				return n == 1 && okAll(c, r)
 			})
-			p := &peer{address: s.addr}
-			d := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}
-			send := func(c *conn) result {
+			p := &upstream{address: s.addr}
+			d := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newHolder()}
+			send := func(c *conn) attemptResult {
 				h := http.Header{"X-Request-Id": {"1"}}
 				if class == "pay" {
 					h.Set("Idempotency-Key", "1")
 				}
 				m := message{line: "POST /x", host: "x", header: h}
-				return d.run(&attempt{req: &request{}, peer: p, address: s.addr, conn: c, message: &m, wait: time.Second})
+				return d.run(&attempt{req: &request{}, upstream: p, address: s.addr, conn: c, message: &m, responseTimeout: time.Second})
 			}
 			first := send(nil)
 			want(t, "first", first.status, garnettide.OK)
@@ -308,7 +308,7 @@
 		f.take(taken)
 		f.gone.Wait()
 		want(t, "requests handed on", len(h.events), 0)
-		want(t, "room given back", h.held.room.Load(), c.held())
+		want(t, "room given back", h.memory.room.Load(), c.bodyMemory())
 	})
 	t.Run("before the loop hears of it", func(t *testing.T) {
 		s := newServer(t, okAll)
@@ -317,7 +317,7 @@
 		h.list(20, up("s-00000001", s))
 		r := h.begin("read", "1", time.Second)
 		<-begun
-		r.gone.Store(true)
+		r.clientGone.Store(true)
 		close(let)
 		h.next()
 		want(t, "requests written", len(s.arrivals), 0)
@@ -333,14 +333,14 @@
 		closed <- struct{}{}
 		return false
 	})
-	d := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}
+	d := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newHolder()}
 	c, err := d.connect(nil, s.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := func(c *conn) result {
+	run := func(c *conn) attemptResult {
 		m := message{line: "POST /x", host: "x"}
-		return d.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr, conn: c, message: &m, wait: time.Second})
+		return d.run(&attempt{req: &request{}, upstream: &upstream{}, address: s.addr, conn: c, message: &m, responseTimeout: time.Second})
 	}
 	r := run(c)
 	want(t, "first", r.status, garnettide.OK)
@@ -400,7 +400,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, c.answer)
 			m := message{line: "POST /x", host: "x", body: []byte("b")}
-			r := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr, message: &m, wait: time.Second})
+			r := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newHolder()}.run(&attempt{req: &request{}, upstream: &upstream{}, address: s.addr, message: &m, responseTimeout: time.Second})
 			want(t, "status", any(r.status), c.status)
 			want(t, "kept", r.conn != nil, c.keeps)
 			if c.status == garnettide.OK {
@@ -441,8 +441,8 @@
 		return readConn{c, reads}, err
 	}
 	m := message{line: "POST /x", host: "x"}
-	r := dialer{open: open, timeout: time.Second, held: newHolder()}.run(&attempt{req: &request{}, peer: &peer{}, address: s.addr,
-		message: &m, wait: time.Second})
+	r := upstreamTransport{open: open, timeout: time.Second, memory: newHolder()}.run(&attempt{req: &request{}, upstream: &upstream{}, address: s.addr,
+		message: &m, responseTimeout: time.Second})
 	want(t, "status", r.status, garnettide.Reset)
 	want(t, "body", string(r.body), "")
 }
@@ -453,16 +453,16 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	d := dialer{open: net.DialTimeout, timeout: time.Second, held: newHolder()}
+	d := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newHolder()}
 	want(t, "refused", d.run(&attempt{address: l.Addr().String()}).status, garnettide.ConnectFailed)
 
 	// What waits for its connection when its request ends or its upstream leaves is not sent any more.
 	s := newServer(t, okAll)
-	a := &attempt{req: &request{}, address: s.addr, message: &message{line: "POST /x", host: "x"}, wait: time.Second}
+	a := &attempt{req: &request{}, address: s.addr, message: &message{line: "POST /x", host: "x"}, responseTimeout: time.Second}
 	want(t, "dropped", a.drop(), true)
 	r := d.run(a)
 	want(t, "status", r.status, garnettide.NotSent)
-	want(t, "still of use", r.conn != nil && r.conn.fresh() == nil, true)
+	want(t, "still of use", r.conn != nil && r.conn.checkIdle() == nil, true)
 	want(t, "requests written", len(s.arrivals), 0)
 }
 
@@ -711,7 +711,7 @@
 	}()
 	<-s.arrivals
 	var all []net.Conn
-	for range b.config.clientConns() + 50 {
+	for range b.config.maxClientConns() + 50 {
 		c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -775,7 +775,7 @@
 	<-from
 	<-s.arrivals
 	close(release)
-	for limit := time.Now().Add(lingerFor); ; {
+	for limit := time.Now().Add(lateResponseTimeout); ; {
 		if status, _ := b.do(t, b.ask("checkin", "")); status == 200 {
 			<-s.arrivals
 			if <-from == late {
@@ -794,10 +794,10 @@
 	<-b.registry.calls
 	start := time.Now()
 	for range 4 {
-		b.registry.answers <- listing{Revision: 10}
+		b.registry.answers <- discoveryList{Revision: 10}
 		<-b.registry.calls
 	}
-	if d := time.Since(start); d < 2*watchPause {
+	if d := time.Since(start); d < 2*minWatchInterval {
 		t.Errorf("4 calls in %v", d)
 	}
 }
@@ -838,9 +838,9 @@
 	m1, m2 := up("s-00000001", one), up("s-00000002", two)
 	b := newBalancer(t, m1, m2)
 	want(t, "first call", since(<-b.registry.calls), "since=10")
-	b.registry.answers <- listing{Revision: 12, Members: []member{draining(m1)}}
+	b.registry.answers <- discoveryList{Revision: 12, Members: []member{draining(m1)}}
 	want(t, "next call", since(<-b.registry.calls), "since=12")
-	b.registry.answers <- listing{Revision: 11, Complete: true, Members: []member{m1, m2}}
+	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: []member{m1, m2}}
 	want(t, "call after an older answer", since(<-b.registry.calls), "since=12")
 	for range 10 {
 		status, _ := b.do(t, b.ask("checkin", ""))
@@ -855,9 +855,9 @@
 	s := newServer(t, okAll)
 	b := newBalancer(t)
 	<-b.registry.calls
-	b.registry.answers <- listing{} // 503
+	b.registry.answers <- discoveryList{} // 503
 	<-b.registry.calls
-	b.registry.answers <- listing{Revision: 20, Complete: true, Members: []member{up("s-00000001", s)}}
+	b.registry.answers <- discoveryList{Revision: 20, Complete: true, Members: []member{up("s-00000001", s)}}
 	<-b.registry.calls // the list has been posted
 	status, _ := b.do(t, b.ask("checkin", ""))
 	want(t, "status", status, 200)
@@ -875,10 +875,10 @@
 	b.reloads <- again(c)
 	want(t, "call at the new discovery", <-next.calls, "")
 	select { // the call at the old one has been ended; its answer, should it still be written, is too late
-	case b.registry.answers <- listing{Revision: 30, Complete: true, Members: []member{up("s-00000001", one)}}:
+	case b.registry.answers <- discoveryList{Revision: 30, Complete: true, Members: []member{up("s-00000001", one)}}:
 	default:
 	}
-	next.answers <- listing{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
+	next.answers <- discoveryList{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
 	want(t, "its next call", since(<-next.calls), "since=3")
 	for range 5 {
 		status, _ := b.do(t, b.ask("checkin", ""))
@@ -896,15 +896,15 @@
 	}
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
-	old := l.discovery
+	old := l.discoveryClient
 	next := c
 	next.Discovery = "127.0.0.1:9"
-	reloaded{again(next), nil}.apply(l)
-	l.hear(listed{from: old, listing: listing{Revision: 90, Complete: true}})
-	want(t, "upstreams after a late answer", len(l.peers), 1)
+	configReloaded{again(next), nil}.apply(l)
+	l.applyListUpdate(listUpdate{from: old, discoveryList: discoveryList{Revision: 90, Complete: true}})
+	want(t, "upstreams after a late answer", len(l.upstreams), 1)
 	want(t, "revision after it", l.revision, uint64(0))
-	l.hear(listed{from: l.discovery, listing: listing{Revision: 2, Complete: true}})
-	want(t, "upstreams after the new list", len(l.peers), 0)
+	l.applyListUpdate(listUpdate{from: l.discoveryClient, discoveryList: discoveryList{Revision: 2, Complete: true}})
+	want(t, "upstreams after the new list", len(l.upstreams), 0)
 	want(t, "revision after it", l.revision, uint64(2))
 }
 
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -35,7 +35,7 @@
 // configWith returns a configuration of settingsText in which old and new, in turn, are replaced.
 func configWith(t testing.TB, discovery string, members []member, replaced ...string) string {
 	t.Helper()
-	known, err := json.Marshal(listing{Revision: 10, Complete: true, Members: members})
+	known, err := json.Marshal(discoveryList{Revision: 10, Complete: true, Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 // configOf is the Config of configWith.
 func configOf(t testing.TB, discovery string, members []member, replaced ...string) Config {
 	t.Helper()
-	c, err := decodeConfig(strings.NewReader(configWith(t, discovery, members, replaced...)), nil, func(*file) {})
+	c, err := decodeConfig(strings.NewReader(configWith(t, discovery, members, replaced...)), nil, func(*configFile) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 
 // again is a Reload of a configuration that the test has made.
 func again(c Config) Reload {
-	return Reload{Discovery: c.Discovery, Links: c.Links, Plan: c.Plan}
+	return Reload{Discovery: c.Discovery, ConnTimeouts: c.ConnTimeouts, Plan: c.Plan}
 }
 
 // reloading is a running balancer whose process reads its configuration again on a signal.
@@ -129,7 +129,7 @@
 	r := &reloading{path: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
 		inForce: make(chan string, 10000), log: &lines{came: make(chan struct{}, 1)}}
 	r.balancer = newBalancerWith(t, func(c *Config) {
-		c.SettingsInForce = func(hash string, took time.Duration) {
+		c.OnConfigApplied = func(hash string, took time.Duration) {
 			if took < 0 || took > time.Minute {
 				t.Errorf("in force after %v", took)
 			}
@@ -228,8 +228,8 @@
 	status, _ = r.do(t, r.ask("parcel", "", "X-Tenant", "t2"))
 	want(t, "a tenant that is not set", status, 503)
 	r.loopSays(func(l *loop) bool {
-		want(t, "connect time-out", l.dial.timeout, 70*time.Millisecond)
-		want(t, "idle for", l.idleFor, 15*time.Second)
+		want(t, "connect time-out", l.transport.timeout, 70*time.Millisecond)
+		want(t, "idle for", l.upstreamIdleTimeout, 15*time.Second)
 		want(t, "attempts", l.settings.Limits.MaxAttempts, 2)
 		want(t, "retry-after", l.settings.Limits.RetryAfter, true)
 		return true
@@ -287,7 +287,7 @@
 	h.list(20, up("s-00000001", s), up("s-00000002", s))
 	begin := func(name string, budget time.Duration) *request {
 		r := h.begin("checkin", name, budget)
-		for limit := time.Now().Add(10 * time.Second); len(s.arrivals) == 0; h.ring() {
+		for limit := time.Now().Add(10 * time.Second); len(s.arrivals) == 0; h.fireTimers() {
 			if time.Now().After(limit) {
 				t.Fatal("request " + name + " is not sent")
 			}
@@ -298,17 +298,17 @@
 	before := begin("1", 4*time.Second)
 	shorter := configOf(t, "127.0.0.1:8500", nil, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 		`"name":"checkin","target_us":500000,"give_up_us":1000000`)
-	reloaded{again(shorter), nil}.apply(h.loop)
-	h.epoch += time.Second // the module takes turns for short at first
+	configReloaded{again(shorter), nil}.apply(h.loop)
+	h.clockBase += time.Second // the module takes turns for short at first
 	after := begin("2", time.Second)
-	h.epoch += 1100 * time.Millisecond
-	h.ring()
-	want(t, "the new one has ended", len(after.reply), 1)
-	want(t, "the older one has not", len(before.reply), 0)
-	h.epoch += 3 * time.Second
-	h.ring()
-	want(t, "the older one has ended", (<-before.reply).status, http.StatusGatewayTimeout)
-	want(t, "the new one", (<-after.reply).status, http.StatusGatewayTimeout)
+	h.clockBase += 1100 * time.Millisecond
+	h.fireTimers()
+	want(t, "the new one has ended", len(after.responseCh), 1)
+	want(t, "the older one has not", len(before.responseCh), 0)
+	h.clockBase += 3 * time.Second
+	h.fireTimers()
+	want(t, "the older one has ended", (<-before.responseCh).status, http.StatusGatewayTimeout)
+	want(t, "the new one", (<-after.responseCh).status, http.StatusGatewayTimeout)
 }
 
 // A request is read by the settings before a reload, and heard by the loop after it: the client is told to go on with its
@@ -337,7 +337,7 @@
 			io.WriteString(raw, "body")
 			want(t, "status", raw.answer(t).StatusCode, c.status)
 			want(t, "attempts", len(s.arrivals), c.sends)
-			r.loopSays(func(l *loop) bool { want(t, "kept", len(l.requests)+len(l.open), 0); return true })
+			r.loopSays(func(l *loop) bool { want(t, "kept", len(l.requests)+len(l.openIDs), 0); return true })
 		})
 	}
 }
@@ -571,7 +571,7 @@
 	next := newRegistry(t)
 	r.signal(t, r.put(t, configWith(t, next.addr, nil, added("parcel")...)))
 	want(t, "call at the new discovery", <-next.calls, "")
-	next.answers <- listing{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
+	next.answers <- discoveryList{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
 	want(t, "its next call", since(<-next.calls), "since=3")
 	status, _ := r.do(t, r.ask("parcel", ""))
 	want(t, "of the new class", status, 200)
@@ -581,7 +581,7 @@
 	r.put(t, strings.Replace(configWith(t, r.config.Discovery, nil, added("letter")...), `"balancers":1`, `"balancers":0`, 1))
 	r.hangups <- syscall.SIGHUP
 	r.log.has(t, "the old one stays")
-	r.loopSays(func(l *loop) bool { want(t, "discovery", l.discovery.address, next.addr); return true })
+	r.loopSays(func(l *loop) bool { want(t, "discovery", l.discoveryClient.address, next.addr); return true })
 }
 
 // A list and a reload come in the same moment, in both orders: both hold for the first request after them.
@@ -595,8 +595,8 @@
 			go r.loopSays(func(*loop) bool { close(held); <-let; return true })
 			<-held // the loop stands still, and both come up
 			list := func() {
-				r.registry.answers <- listing{Revision: 12, Complete: true, Members: []member{up("s-00000002", two)}}
-				r.until(t, "the list waits", func() bool { return len(r.loop.lists) == 1 })
+				r.registry.answers <- discoveryList{Revision: 12, Complete: true, Members: []member{up("s-00000002", two)}}
+				r.until(t, "the list waits", func() bool { return len(r.loop.listUpdates) == 1 })
 			}
 			if listFirst {
 				list()
@@ -636,14 +636,14 @@
 	process := func() *reloading {
 		admin := freeAddress(t)
 		r := newReloading(t, func(c *Config) {
-			c.Operator, c.StateDir, c.Inherited = admin, dir, inherit(t, l.(*net.TCPListener))
+			c.Operator, c.StateDir, c.InheritedFD = admin, dir, inherit(t, l.(*net.TCPListener))
 		}, members...)
 		r.url = "http://" + l.Addr().String()
 		return r
 	}
 	older := process()
 	<-older.registry.calls
-	older.registry.answers <- listing{Revision: 11, Complete: true, Members: members}
+	older.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	older.until(t, "ready", func() bool { return older.call(t, "GET", "/control/ready") == 200 })
 	taken := older.connect(t)
 	taken.send(t, older.ask("checkin", ""))
@@ -651,7 +651,7 @@
 	newer := process()
 	<-newer.registry.calls
 	newer.reload(t, append(added("parcel"), gone...)...) // before it is ready
-	newer.registry.answers <- listing{Revision: 11, Complete: true, Members: members}
+	newer.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	newer.until(t, "ready", func() bool { return newer.call(t, "GET", "/control/ready") == 200 })
 	older.cancel() // the older one takes no more connections, and still takes its reload
 	older.reload(t, append(added("parcel"), gone...)...)
@@ -694,7 +694,7 @@
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
 	l.Watch(false)
-	l.members(garnettide.ListFull, listing{})
+	l.applyList(garnettide.ListFull, discoveryList{})
 	r := NewReloader(getenv, c)
 	r.log = slog.New(slog.DiscardHandler)
 	c = Config{}
@@ -712,21 +712,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		reloaded{x, nil}.apply(l)
+		configReloaded{x, nil}.apply(l)
 		for k := range 50 { // there is no server: each is refused, and both its class and its tenant have been met
-			q := &request{name: "1", at: l.now(), reply: make(chan answer, 1)}
+			q := &request{clientRequestID: "1", at: l.now(), responseCh: make(chan answer, 1)}
 			q.Class, q.Tenant, q.Budget = fmt.Sprintf("c%04d-%03d", i, k), fmt.Sprintf("t%04d-%03d", i, 10*k), time.Millisecond
-			arrived{q}.apply(l)
-			l.settle()
-			if len(q.reply) != 1 {
+			requestReceived{q}.apply(l)
+			l.reportPending()
+			if len(q.responseCh) != 1 {
 				t.Fatalf("reload %d: a request of the class that came is not answered", i)
 			}
 		}
-		for len(l.logs) > 0 { // nobody else takes them
-			<-l.logs
+		for len(l.logLines) > 0 { // nobody else takes them
+			<-l.logLines
 		}
-		l.epoch += 2 * time.Second // all alarms are due, and the module's tick forgets what is gone
-		l.ring()
+		l.clockBase += 2 * time.Second // all alarms are due, and the module's tick forgets what is gone
+		l.fireTimers()
 		if i == 10 || i == 60 || i == 110 { // what tests before this one have left may still go
 			early = min(early, live())
 		}
@@ -755,7 +755,7 @@
 	plan := garnettide.NewPlanBuilder()
 	if err := d.Object(func(key string) error {
 		if key != "settings" {
-			return d.Field(key, &file{})
+			return d.Field(key, &configFile{})
 		}
 		_, _, err := d.Settings(plan.AddClass, plan.AddTenant)
 		return err
@@ -784,25 +784,25 @@
 func TestSlices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var pauses []time.Duration
-		s := &slicer{began: time.Now(), pause: func(d time.Duration) { pauses = append(pauses, d) }}
-		for range 100 * stepsLook {
-			time.Sleep(slice / 50) // that much work
+		s := &workSlicer{sliceStart: time.Now(), pause: func(d time.Duration) { pauses = append(pauses, d) }}
+		for range 100 * stepsPerTimeCheck {
+			time.Sleep(reloadSlice / 50) // that much work
 			s.step()
 		}
 		total := time.Duration(0)
 		for _, d := range pauses {
-			if d < slice || d > 2*slice {
-				t.Errorf("a pause of %v after a slice of %v", d, slice)
+			if d < reloadSlice || d > 2*reloadSlice {
+				t.Errorf("a pause of %v after a slice of %v", d, reloadSlice)
 			}
 			total += d
 		}
-		if work := 100 * stepsLook * slice / 50; total < work*9/10 {
+		if work := 100 * stepsPerTimeCheck * reloadSlice / 50; total < work*9/10 {
 			t.Errorf("%v of pauses in %v of work", total, work)
 		}
 	})
-	var none *slicer
+	var none *workSlicer
 	none.step()
-	none.look()
+	none.checkTime()
 }
 
 // large is a configuration of many classes and tenants, of which the first tenant has a quota.
@@ -913,7 +913,7 @@
 			l.Watch(false)
 			go l.run()
 			hangups, reloads, inForce := make(chan os.Signal, 1), make(chan Reload), make(chan time.Duration, 1)
-			c.SettingsInForce = func(_ string, took time.Duration) { inForce <- took }
+			c.OnConfigApplied = func(_ string, took time.Duration) { inForce <- took }
 			r := NewReloader(getenv, c)
 			c = Config{}
 			go r.Follow(b.Context(), hangups, reloads)
@@ -921,7 +921,7 @@
 				for {
 					select {
 					case x := <-reloads:
-						l.post(reloaded{x, nil})
+						l.post(configReloaded{x, nil})
 					case <-b.Context().Done():
 						return
 					}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -90,7 +90,7 @@
 		u.serve = echoBodies
 		v.tell(50, u.member("s-00000001"))
 		synctest.Wait()
-		room := v.held.room.Load()
+		room := v.memory.room.Load()
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 			return v.meet(), nil
 		}}}
@@ -120,7 +120,7 @@
 			}
 		}
 		synctest.Wait()
-		want(t, "what was held is given back", v.held.room.Load(), room)
+		want(t, "what was held is given back", v.memory.room.Load(), room)
 		client.CloseIdleConnections()
 		v.rest()
 	})
@@ -223,7 +223,7 @@
 		if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != "0123456789" {
 			t.Fatalf("%s: %q, %v", form, got, err)
 		}
-		b.until(t, "the deadline has passed", func() bool { return b.loopSays(func(l *loop) bool { return len(l.alarms) < 2 }) })
+		b.until(t, "the deadline has passed", func() bool { return b.loopSays(func(l *loop) bool { return len(l.timers) < 2 }) })
 		next <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || strings.Trim(string(rest), "x") != "" || len(rest) == 0 {
@@ -237,7 +237,7 @@
 	e := called{done: make(chan struct{})}
 	var yes bool
 	e.do = func(l *loop) { yes = so(l) }
-	b.loop.calls <- e
+	b.loop.adminCalls <- e
 	<-e.done
 	return yes
 }
@@ -318,10 +318,10 @@
 		}
 	}
 	b.until(t, "nothing is left of them", func() bool {
-		return b.loopSays(func(l *loop) bool { return len(l.requests) == 0 && len(l.open) == 0 && l.conns == 0 })
+		return b.loopSays(func(l *loop) bool { return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0 })
 	})
 	want(t, "requests at the upstream", len(s.arrivals), 0)
-	want(t, "held", b.loop.held.room.Load(), b.config.held())
+	want(t, "held", b.loop.memory.room.Load(), b.config.bodyMemory())
 }
 
 // An upstream that answers before it has the whole body: the client gets that answer and can read it, and the upstream's
@@ -391,7 +391,7 @@
 	t.Parallel()
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { return ok(c, "done") })
 	b := newBalancer(t, up("s-00000001", s))
-	b.loop.held.room.Store(0)
+	b.loop.memory.room.Store(0)
 	for _, n := range []int{0, 10, maxBody, 2 * maxBody} {
 		status, body := b.do(t, b.ask("checkin", string(text(n))))
 		want(t, "status", status, 200)
@@ -436,7 +436,7 @@
 			t.Fatal(err)
 		}
 		request = request[n:]
-		for i := range b.config.clientConns() / 4 { // some ask once, some stop within a request, some say nothing
+		for i := range b.config.maxClientConns() / 4 { // some ask once, some stop within a request, some say nothing
 			c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 			if err != nil {
 				t.Fatal(err)
@@ -516,14 +516,14 @@
 				const size = maxBody + 2*pieceSize
 				fmt.Fprintf(c, "%s%s", checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", size)), text(size))
 				b.until(t, "the request is open", func() bool {
-					return b.loopSays(func(l *loop) bool { return len(l.open) == 1 })
+					return b.loopSays(func(l *loop) bool { return len(l.openIDs) == 1 })
 				})
 				leave(c.Conn.(*net.TCPConn))
 				c.Close()
 				<-b.registry.calls
-				b.registry.answers <- listing{Revision: 11, Complete: true, Members: []member{up("s-00000001", s)}}
+				b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: []member{up("s-00000001", s)}}
 				b.until(t, "the request has ended", func() bool {
-					return b.loopSays(func(l *loop) bool { return len(l.open) == 0 })
+					return b.loopSays(func(l *loop) bool { return len(l.openIDs) == 0 })
 				})
 				want(t, "requests begun", int(begun.Load()), 0)
 			})
--- a/internal/proxy/virtual_test.go
+++ b/internal/proxy/virtual_test.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Known = listing{}
+	c.CachedList = discoveryList{}
 	set(&c, &settings)
 	if c.Plan, err = garnettide.NewPlan(settings, func() {}); err != nil {
 		t.Fatal(err)
@@ -191,8 +191,8 @@
 	c := virtualConfig(t, set)
 	ctx, end := context.WithCancel(t.Context())
 	v := &virtual{loop: newLoop(ctx, &c), end: end, ups: map[string]*memUpstream{}, gate: make(chan struct{}), silent: silent}
-	v.discovery.dial = discovery
-	v.dial.open = func(_, address string, _ time.Duration) (net.Conn, error) {
+	v.discoveryClient.dial = discovery
+	v.transport.open = func(_, address string, _ time.Duration) (net.Conn, error) {
 		<-v.gate
 		return v.ups[address].dial(), nil
 	}
@@ -209,7 +209,7 @@
 }
 
 func (v *virtual) tell(revision uint64, members ...member) {
-	v.lists <- listed{from: v.discovery, listing: listing{Revision: revision, Complete: true, Members: members}}
+	v.listUpdates <- listUpdate{from: v.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
 }
 
 // begun is how many requests have begun at all upstreams.
@@ -296,7 +296,7 @@
 						want(t, "begun while the client waits", v.begun(), c.begun+1)
 					}
 					ours.Close()
-					time.Sleep(2 * lingerFor) // what hangs is given up
+					time.Sleep(2 * lateResponseTimeout) // what hangs is given up
 					v.end()
 					time.Sleep(time.Second)
 				})
@@ -337,7 +337,7 @@
 
 // rest lets what hangs be given up, and ends all.
 func (v *virtual) rest() {
-	time.Sleep(2 * lingerFor)
+	time.Sleep(2 * lateResponseTimeout)
 	v.end()
 	time.Sleep(time.Second)
 }
@@ -472,7 +472,7 @@
 							v := newVirtual(t, d.listener.silent, d.dial, func(x *Config, s *garnettide.Settings) {
 								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
 								if young { // its first call comes at once, and has no list to go on from
-									x.Inherited, s.Balancers = firstInherited, 1
+									x.InheritedFD, s.Balancers = minInheritedFD, 1
 								}
 							})
 							if !young {
@@ -499,7 +499,7 @@
 // revisionHeld is that of the list that the loop goes by.
 func (v *virtual) revisionHeld() (revision int) {
 	done := make(chan struct{})
-	v.calls <- called{do: func(l *loop) { revision = int(l.revision) }, done: done}
+	v.adminCalls <- called{do: func(l *loop) { revision = int(l.revision) }, done: done}
 	<-done
 	return revision
 }
@@ -534,17 +534,17 @@
 							x.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
 							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
 						})
-						if x.Known = (listing{}); c.known {
-							x.Known = listing{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
+						if x.CachedList = (discoveryList{}); c.known {
+							x.CachedList = discoveryList{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
 						}
 						if replaced {
-							x.Inherited = firstInherited
+							x.InheritedFD = minInheritedFD
 						}
 						front, made := newMemListener(silent), make(chan *loop, 1)
 						ended.Go(func() {
 							if err := run(ctx, x, front, nil, func(l *loop) {
-								l.discovery.dial = d.dial
-								l.dial.open = func(string, string, time.Duration) (net.Conn, error) { return u.dial(), nil }
+								l.discoveryClient.dial = d.dial
+								l.transport.open = func(string, string, time.Duration) (net.Conn, error) { return u.dial(), nil }
 								made <- l
 							}); err != nil {
 								t.Error(err)
@@ -555,7 +555,7 @@
 							for start := time.Now(); time.Since(start) < limit; time.Sleep(100 * time.Millisecond) {
 								missing := make(chan struct{})
 								var lacks string
-								l.calls <- called{do: func(l *loop) { lacks = l.missing() }, done: missing}
+								l.adminCalls <- called{do: func(l *loop) { lacks = l.missing() }, done: missing}
 								<-missing
 								if lacks == "" && healthy(front) {
 									ready.Add(1)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -30,7 +30,7 @@
 type hollowOne struct {
 	path    string
 	end     context.CancelFunc
-	control *proxy.Control // nil: it does not run
+	control *proxy.ControlLoop // nil: it does not run
 	hangups chan os.Signal
 
 	mu       sync.Mutex
@@ -108,12 +108,12 @@
 	if err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
-	c.ListInForce = func(revision uint64) {
+	c.OnListApplied = func(revision uint64) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.lists = append(o.lists, Made{revision, time.Now().UnixNano()})
 	}
-	c.SettingsInForce = func(hash string, _ time.Duration) {
+	c.OnConfigApplied = func(hash string, _ time.Duration) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if len(o.settings) >= settingsKept {
@@ -123,7 +123,7 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	reloads := make(chan proxy.Reload)
-	o.control, o.end = proxy.StartControl(ctx, c, reloads), end
+	o.control, o.end = proxy.StartControlLoop(ctx, c, reloads), end
 	go proxy.NewReloader(getenv, c).Follow(ctx, o.hangups, reloads)
 	return nil
 }
--- a/internal/scale/inprocess_test.go
+++ b/internal/scale/inprocess_test.go
@@ -79,8 +79,8 @@
 		t.Fatal(err)
 	}
 	classes, tenants := c.Plan.Size()
-	if classes != 5 || tenants != 7 || len(c.Known.Members) != 11 {
-		t.Errorf("%d classes, %d tenants, %d upstreams", classes, tenants, len(c.Known.Members))
+	if classes != 5 || tenants != 7 || len(c.CachedList.Members) != 11 {
+		t.Errorf("%d classes, %d tenants, %d upstreams", classes, tenants, len(c.CachedList.Members))
 	}
 }
 
