--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -1,6 +1,6 @@
-// Package proxy is the real balancer round the decision module: clients, upstreams
-// and discovery on TCP sockets. It decides nothing; what is sent where, again or
-// not at all is the module's to say.
+// Package proxy connects the routing decisions of package garnettide to TCP: it serves clients, sends their
+// requests to upstreams and follows discovery. Which upstream receives a request, and whether it is retried
+// or refused, is decided by the Balancer.
 package proxy
 
 import (
@@ -17,35 +17,36 @@
 	"garnettide/internal/wire"
 )
 
-// firstInherited is the first descriptor behind standard input, output and error.
+// minInheritedFD is the first descriptor after standard input, output and error.
 const minInheritedFD = 3
 
-// Config is what a balancer is told at its start.
+// Config is the configuration of a balancer at its start.
 type Config struct {
 	Name         string
 	Listen       string // host:port for clients
 	Discovery    string // host:port of discovery
 	Operator     string // host:port for operators; empty: no admin listener
-	StateDir     string // where what operators called for is kept
-	InheritedFD  int    // descriptor of the clients' listening socket; 0: this process listens itself
+	StateDir     string // directory of the state file
+	InheritedFD  int    // descriptor of the clients' listening socket; 0: the process opens its own
 	Seed         uint64
 	MemoryMB     int
 	Sockets      int
-	CachedList   discoveryList // the upstreams as last held, maybe stale
+	CachedList   discoveryList // last known upstreams, possibly out of date
 	Plan         *garnettide.Plan
 	ConnTimeouts wire.Links
-	Hash         string // of the file as it was read: the first twelve hex digits of its SHA-256
-	// SettingsInForce, if set, is called on the loop when a configuration that was read again is in force, with its Hash
+	Hash         string // first twelve hexadecimal digits of the file's SHA-256
+	// OnConfigApplied, if set, is called on the loop when a reloaded configuration is in force, with its hash
 	// and the time since its signal.
 	OnConfigApplied func(hash string, took time.Duration)
-	// Overlap, if set, is called when another process of this balancer begins or ends to live beside this one.
+	// OnOverlap, if set, is called when another process of this balancer starts or stops running beside this
+	// one.
 	OnOverlap func(on bool)
-	// ListInForce, if set, is called on the loop each time a list of discovery has been applied, with its revision. It must
-	// not wait.
+	// OnListApplied, if set, is called on the loop after each list from discovery, with its revision. It must
+	// not block.
 	OnListApplied func(revision uint64)
 }
 
-// file is the configuration file's form, but for what is decoded part by part.
+// configFile is the configuration file without known and settings, which are decoded as streams.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -58,7 +59,7 @@
 	} `json:"limits"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names. The other RELAY_ variables go before what it says.
+// LoadConfig reads the file that RELAY_CONFIG names. The other RELAY_ variables override its values.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	text, hash, err := readConfig(getenv, nil)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return parseConfig(getenv, text, hash, nil)
 }
 
-// parseConfig checks a configuration, in slices.
+// parseConfig decodes and checks a configuration, in slices of work.
 func parseConfig(getenv func(string) string, text io.Reader, hash string, slicer *workSlicer) (Config, error) {
 	path := getenv("RELAY_CONFIG")
 	c, err := decodeConfig(text, slicer, func(f *configFile) {
@@ -87,13 +88,14 @@
 	}
 	if fd := getenv("RELAY_INHERITED_FD"); fd != "" {
 		if c.InheritedFD, err = strconv.Atoi(fd); err != nil || c.InheritedFD < minInheritedFD {
-			return Config{}, fmt.Errorf("RELAY_INHERITED_FD: %q is no descriptor of a listening socket", fd)
+			return Config{}, fmt.Errorf("RELAY_INHERITED_FD: %q is not a valid descriptor of a listening socket", fd)
 		}
 	}
 	return c, nil
 }
 
-// decodeConfig decodes and checks a configuration, with what goes before the file's own words put in by override.
+// decodeConfig decodes and checks a configuration. override may change the file's values before they are
+// checked.
 func decodeConfig(text io.Reader, slicer *workSlicer, override func(*configFile)) (Config, error) {
 	var c Config
 	var f configFile
@@ -126,7 +128,7 @@
 		return c, errors.New("settings are missing")
 	}
 	if c.ConnTimeouts.KeepAlive <= 0 || c.ConnTimeouts.ConnectTimeout <= 0 {
-		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
+		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be greater than zero")
 	}
 	if c.Plan, err = plan.Plan(settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
@@ -134,7 +136,7 @@
 	return c, nil
 }
 
-// decodeKnown decodes and checks the list that was last held.
+// decodeKnown decodes and checks the cached list of upstreams.
 func decodeKnown(d *wire.Decoder, known *discoveryList) error {
 	var head struct {
 		Revision uint64 `json:"revision"`
@@ -145,7 +147,7 @@
 			return d.Field(key, &head)
 		}
 		if known.Members != nil {
-			return errors.New("members is there twice")
+			return errors.New("members appears more than once")
 		}
 		known.Members = []member{}
 		return d.List(func(int) error {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// check checks what was read and puts it into c.
+// validateInto checks the values and stores them in c.
 func (f *configFile) validateInto(c *Config) error {
 	c.Name, c.Listen, c.Discovery, c.Operator = f.Name, f.Listen, f.Discovery, f.Operator
 	c.MemoryMB, c.Sockets = f.Limits.MemoryMB, f.Limits.Sockets
@@ -183,24 +185,24 @@
 		return fmt.Errorf("seed: %w", err)
 	}
 	if c.MemoryMB < 16 {
-		return fmt.Errorf("limits: memory_mb is %d; at least 16 is needed", c.MemoryMB)
+		return fmt.Errorf("limits: memory_mb is %d, must be at least 16", c.MemoryMB)
 	}
 	if c.Sockets < 64 {
-		return fmt.Errorf("limits: sockets is %d; at least 64 are needed", c.Sockets)
+		return fmt.Errorf("limits: sockets is %d, must be at least 64", c.Sockets)
 	}
 	return nil
 }
 
-// Descriptors: clients hold a third at most for requests, so upstreams need no more. A reserve is for the listener,
-// discovery, the admin listener and what is being closed. The rest is for clients, whose connections are more than
-// their requests.
+// Sockets are divided as follows: a third for upstreams, which is enough because clients use at most a
+// third for requests; a reserve for the listener, discovery and sockets being closed; some for the admin
+// listener; and the rest for clients, which have more connections than requests.
 
 func (c *Config) maxUpstreamConns() int { return c.Sockets / 3 }
 func (c *Config) maxClientConns() int {
 	return c.Sockets - c.maxUpstreamConns() - max(c.Sockets/16, 16) - c.adminConns()
 }
 
-// adminConns is what the admin listener may hold: its listener and its calls.
+// adminConns returns the number of sockets for the admin listener and its connections.
 func (c *Config) adminConns() int {
 	if c.Operator == "" {
 		return 0
@@ -208,6 +210,6 @@
 	return 1 + adminConns
 }
 
-// held is how much of bodies may be held at once: a quarter of the memory, beside the program, its connections and what
-// the collector leaves lying.
+// bodyMemory returns how many bytes of bodies may be buffered at once. The rest of the memory is for the
+// program, its connections and garbage.
 func (c *Config) bodyMemory() int64 { return int64(c.MemoryMB) << 20 / 4 }
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -2,20 +2,20 @@
 
 import "context"
 
-// Control is a balancer's control alone: its loop, its module and its client of discovery, with the reload path and without
-// clients. A scale run holds many of them in one process, to measure what a balancer spends without traffic.
+// ControlLoop is a balancer without clients: its loop, Balancer, discovery client and reloads. A scale run
+// starts many of them in one process to measure what a balancer costs without traffic.
 type ControlLoop struct {
 	cancel context.CancelFunc
-	done   chan struct{} // closed once the loop has ended
+	done   chan struct{} // closed when the loop has ended
 }
 
-// StartControl starts control as Run does. It ends with ctx or by Stop. Each configuration from reloads, which a Reloader
-// makes, takes the place of the one before.
+// StartControlLoop starts a ControlLoop, which runs until ctx ends or Stop is called. It applies each
+// configuration from reloads, which a Reloader sends.
 func StartControlLoop(ctx context.Context, c Config, reloads <-chan Reload) *ControlLoop {
 	loopCtx, cancel := context.WithCancel(ctx)
 	l := newLoop(loopCtx, &c)
 	l.start(&c, nil)
-	c.Plan, c.CachedList = nil, discoveryList{} // others hold what is in force
+	c.Plan, c.CachedList = nil, discoveryList{} // the loop has the current ones
 	control := &ControlLoop{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(control.done)
@@ -34,7 +34,7 @@
 	return control
 }
 
-// Stop ends control and waits until its loop has ended. Calls to discovery that are open break off.
+// Stop ends the loop and waits for its end. Open calls to discovery are cancelled.
 func (c *ControlLoop) Stop() {
 	c.cancel()
 	<-c.done
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -21,33 +21,35 @@
 )
 
 const (
-	// watchWait is how long a watch call waits for news, on average. Each draws its own wait, up to a fifth more or less:
-	// balancers that have started together, and whose watches fall silent together, call anew one by one, as discovery
-	// serves them. Shorter waits would bring them into the rush after the news that made others' watches answer.
+	// discoveryWatchTimeout is how long discovery may hold a watch call while nothing changes, on average. Each
+	// call draws its own time within a fifth of it, so that balancers that were started together do not
+	// reconnect at the same time after their watches have gone silent.
 	discoveryWatchTimeout = 10 * time.Second
-	discoveryCallTimeout  = 3 * time.Second // how long a call that does not wait may take: discovery itself fails it by then
-	// connectPatience is how long a connection to discovery may take to come up: a call that waits for news would wait for
-	// it as long, and http.Transport makes a call whose kept connection is reset again by itself. The next call after that
-	// has to be answered 6 s after the reset.
+	discoveryCallTimeout  = 3 * time.Second // for calls that are not held; discovery fails them earlier
+	// discoveryConnectTimeout limits the time to connect to discovery. Without it a watch call would wait for
+	// the connection as long as for changes, also when http.Transport repeats a call on a new connection after
+	// a reset. The next call must be answered within 6 s of the reset.
 	discoveryConnectTimeout = 500 * time.Millisecond
-	// silentWatch is how much later than its wait the answer of a watch call may be. It comes in a few milliseconds, and
-	// what a watch misses that has fallen silent counts as told 2 s after the wait: by then a new call has to be answered.
+	// watchSilenceMargin is how much later than its own time-out a watch call may be answered before the watch
+	// counts as silent. A change that a silent watch misses is due 2 s after that time-out, and a new call must
+	// have been answered by then.
 	watchSilenceMargin = 250 * time.Millisecond
-	// watchPause is the least time from one watch call to the next: an agent that answers at once must not keep the
-	// core busy. Discovery takes a call 200 ms after the last answer for a new watch.
+	// minWatchInterval is the minimum time between the starts of two watch calls, so that a discovery server
+	// that answers at once does not keep the process busy. Discovery treats a call that comes 200 ms after its
+	// last answer as a new watch.
 	minWatchInterval = 100 * time.Millisecond
 	maxListBytes     = 4 << 20
-	maxRecentIDs     = 4096 // many times a fleet, and under a megabyte
+	maxRecentIDs     = 4096 // well over the number of upstreams, and less than 1 MB
 )
 
-// listing is a discovery answer: the whole list, or the entries that changed.
+// discoveryList is a list from discovery: all upstreams if Complete, otherwise the changed ones.
 type discoveryList struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []member `json:"members"`
 }
 
-// member is an entry of a listing.
+// member is one entry of a discoveryList.
 type member struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -58,16 +60,18 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-var statesByPhase = map[string]garnettide.State{"up": garnettide.Active, "draining": garnettide.Draining, "removed": garnettide.Removed}
+var statesByPhase = map[string]garnettide.State{
+	"up": garnettide.Active, "draining": garnettide.Draining, "removed": garnettide.Removed,
+}
 
-// check tells what makes the entry unusable.
+// validate returns an error if the entry cannot be used.
 func (m *member) validate() error {
 	state, ok := statesByPhase[m.Phase]
 	switch {
 	case m.ID == "":
 		return fmt.Errorf("an entry has no id")
 	case !ok:
-		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
+		return fmt.Errorf("%s: unknown phase %q", m.ID, m.Phase)
 	case state == garnettide.Removed:
 		return nil
 	}
@@ -77,19 +81,18 @@
 	return nil
 }
 
-// upstream is the entry as the module takes it.
+// upstream converts the entry for the Balancer.
 func (m *member) upstream(id garnettide.UpstreamID) garnettide.Upstream {
 	return garnettide.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: statesByPhase[m.Phase],
-		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock is Unix time at its start, so 0 stays 0
+		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock starts at Unix time
 }
 
-// names maps discovery's ids to the module's. The module orders upstreams by these
-// numbers, so all balancers must come to the same: "s-" and up to eight hex digits
-// gives that number, and any other id the FNV-1a hash of its text. If two ids come
-// to one number, the later one is hashed on with a count behind it until a number
-// is free. The entries of a list are named in the order of their ids, so balancers
-// differ at most in which of two such ids came first: their rings differ then, but
-// no two upstreams are ever mixed up. An id keeps its number until it is gone and nothing is out there.
+// upstreamIDs maps discovery's IDs to the Balancer's numbers. All balancers must derive the same numbers,
+// because the Balancer orders upstreams by them. The number of "s-" followed by up to eight hexadecimal
+// digits is the value of the digits, that of any other ID is its FNV-1a hash. If the number is taken, the
+// ID is hashed with a counter appended until a free one is found. Lists are processed in the order of IDs,
+// so balancers differ at most in which of two colliding IDs came first, and no two upstreams share a number.
+// An ID keeps its number until its upstream is removed and has no attempts in flight.
 type upstreamIDs struct {
 	ids   map[string]garnettide.UpstreamID
 	taken map[garnettide.UpstreamID]bool
@@ -99,6 +102,7 @@
 	return &upstreamIDs{ids: map[string]garnettide.UpstreamID{}, taken: map[garnettide.UpstreamID]bool{}}
 }
 
+// id returns the number of a discovery ID, and assigns one to a new ID.
 func (n *upstreamIDs) id(text string) garnettide.UpstreamID {
 	if id, ok := n.ids[text]; ok {
 		return id
@@ -111,22 +115,23 @@
 	return id
 }
 
-// forget frees the number of an id that is gone for good: upstreams come and go all day under ids that are ever new.
-// Should it come back it gets the number that its text gives.
+// release frees the number of an ID. An ID that returns is numbered anew.
 func (n *upstreamIDs) release(text string) {
 	delete(n.taken, n.ids[text])
 	delete(n.ids, text)
 }
 
-// ids are the ids that lists have named, the most recent ones: what was never listed is no upstream to an operator.
+// recentIDs holds the maxRecentIDs IDs that lists have named most recently. Operators' calls for other IDs
+// are rejected.
 type recentIDs struct {
 	known map[string]bool
-	order []string // from next on, the oldest first
+	order []string // a ring; the oldest is at next once it is full
 	next  int
 }
 
 func newRecentIDs() *recentIDs { return &recentIDs{known: map[string]bool{}} }
 
+// add records an ID, and forgets the oldest one if there are too many.
 func (r *recentIDs) add(id string) {
 	switch {
 	case r.known[id]:
@@ -140,6 +145,7 @@
 	r.known[id] = true
 }
 
+// numericID derives the number of a discovery ID from its text.
 func numericID(text string) garnettide.UpstreamID {
 	if digits, ok := strings.CutPrefix(text, "s-"); ok {
 		if x, err := strconv.ParseUint(digits, 16, 32); err == nil {
@@ -149,27 +155,28 @@
 	return hashText(text)
 }
 
+// hashText returns the FNV-1a hash of text.
 func hashText(text string) garnettide.UpstreamID {
 	h := fnv.New32a()
 	io.WriteString(h, text) // never fails
 	return garnettide.UpstreamID(h.Sum32())
 }
 
-// discovery asks one address for the list of upstreams and posts what it hears. It
-// never asks again by itself after a failure: that is the module's to time.
+// discoveryClient requests lists of upstreams from one address and posts the results. After a failure the
+// Balancer decides when to call again.
 type discoveryClient struct {
 	address      string
 	url          string
 	client       *http.Client
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
-	ctx          context.Context // ends all its calls
+	ctx          context.Context // ends all calls
 	cancel       context.CancelFunc
-	heldRevision atomic.Pointer[uint64] // revision of the list that the loop holds from it; nil: none yet
+	heldRevision atomic.Pointer[uint64] // latest revision posted; nil: none
 	post         func(listUpdate)
 }
 
-// listed is an answer of discovery, or the failure of a call. It names whom it came from: a late one of a discovery
-// that a new configuration has replaced must not be taken for news.
+// listUpdate is the result of a discovery call. from identifies the client: results of one that a reload
+// has replaced are ignored.
 type listUpdate struct {
 	from *discoveryClient
 	discoveryList
@@ -177,30 +184,31 @@
 }
 
 func newDiscoveryClient(ctx context.Context, address string, post func(listUpdate)) *discoveryClient {
-	d := &discoveryClient{address: address, url: "http://" + address + "/v1/servers", post: post, dial: (&net.Dialer{}).DialContext}
+	d := &discoveryClient{address: address, url: "http://" + address + "/v1/servers", post: post,
+		dial: (&net.Dialer{}).DialContext}
 	d.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: d.connect}}
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	return d
 }
 
-// connect opens a connection, or gives up.
+// connect opens a connection within discoveryConnectTimeout.
 func (d *discoveryClient) connect(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, discoveryConnectTimeout)
 	defer cancel()
 	return d.dial(ctx, network, address)
 }
 
-// end ends all calls and closes the connections.
+// shutdown ends all calls and closes the connections.
 func (d *discoveryClient) shutdown() {
 	d.cancel()
 	d.client.CloseIdleConnections()
 }
 
-// errSilent says that a watch has fallen silent.
-var errWatchSilent = errors.New("the watch is silent")
+// errWatchSilent reports that a watch call was not answered in time.
+var errWatchSilent = errors.New("discovery watch went silent")
 
-// watch follows the list until a call fails or ctx ends. Revisions of another discovery mean nothing to this one, so
-// without a list of its own it asks for the whole.
+// watch posts lists until a call fails or ctx ends. It begins with the whole list unless a revision has
+// been recorded: revisions of another discovery server have no meaning for this one.
 func (d *discoveryClient) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		next := time.After(minWatchInterval)
@@ -218,7 +226,7 @@
 			if url != d.url && errors.Is(err, context.DeadlineExceeded) {
 				err = fmt.Errorf("%w: %w", errWatchSilent, err)
 			}
-			<-next // what the module does on a failure may be to ask again at once
+			<-next // the Balancer may start a new watch at once
 			d.post(listUpdate{d, list, err})
 			return
 		}
@@ -228,7 +236,7 @@
 	}
 }
 
-// fetch asks for the whole list once.
+// fetch requests the whole list once and posts it.
 func (d *discoveryClient) fetch() {
 	list, err := d.call(d.ctx, d.url, discoveryCallTimeout)
 	if d.ctx.Err() != nil {
@@ -240,12 +248,14 @@
 	}
 }
 
-// hold notes a revision that has been posted; it never goes back.
+// recordRevision records a posted revision, unless a newer one is recorded.
 func (d *discoveryClient) recordRevision(revision uint64) {
-	for heldRevision := d.heldRevision.Load(); (heldRevision == nil || revision > *heldRevision) && !d.heldRevision.CompareAndSwap(heldRevision, &revision); heldRevision = d.heldRevision.Load() {
+	for heldRevision := d.heldRevision.Load(); (heldRevision == nil || revision > *heldRevision) &&
+		!d.heldRevision.CompareAndSwap(heldRevision, &revision); heldRevision = d.heldRevision.Load() {
 	}
 }
 
+// call makes one call and returns its list, checked and in the order of IDs.
 func (d *discoveryClient) call(ctx context.Context, url string, timeout time.Duration) (discoveryList, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -260,7 +270,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return list, fmt.Errorf("discovery: answered %s", resp.Status)
+		return list, fmt.Errorf("discovery: unexpected status %s", resp.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
@@ -269,8 +279,8 @@
 	if err := json.Unmarshal(body, &list); err != nil {
 		return list, fmt.Errorf("discovery: %w", err)
 	}
-	if list.Complete && list.Members == nil { // taken as it stands it would say that all upstreams are gone
-		return list, errors.New("discovery: a whole list without members")
+	if list.Complete && list.Members == nil { // would remove all upstreams
+		return list, errors.New("discovery: complete list without members")
 	}
 	for i := range list.Members {
 		if err := list.Members[i].validate(); err != nil {
@@ -278,7 +288,7 @@
 		}
 	}
 	if !list.Complete && d.heldRevision.Load() == nil {
-		return list, errors.New("discovery: changes to a list that was never told")
+		return list, errors.New("discovery: changes without an earlier complete list")
 	}
 	slices.SortFunc(list.Members, func(a, b member) int { return strings.Compare(a.ID, b.ID) })
 	return list, nil
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -16,114 +16,118 @@
 )
 
 const (
-	// spareIdle is how long before the upstream would an idle connection is closed: a request written to one that
-	// the upstream has just closed ends as a reset.
+	// idleCloseMargin is how long before the upstream's idle timeout an idle connection is closed. A request
+	// written to a connection that the upstream has just closed fails with a reset.
 	idleCloseMargin = 5 * time.Second
-	// lingerFor and lingerMost bound the connections of attempts whose client has gone. The upstream works on
-	// regardless, and a connection kept for the late answer saves the next handshake; but hung upstreams never
-	// answer.
+	// lateResponseTimeout and maxLateResponses limit, in time and in number per upstream, the connections that
+	// stay open for a response that no client waits for any more. Reading the late response allows the
+	// connection to be reused.
 	lateResponseTimeout = 3 * time.Second
 	maxLateResponses    = 4
 	idleSweepInterval   = time.Second
-	// restFor is how long a connection rests between two requests. Answers do not name their request: a second copy
-	// that comes late, after the next request is written, would pass for its answer. In a rest it is seen instead.
+	// connReuseDelay is how long a connection stays idle between two requests. Responses do not identify their
+	// request, so a late duplicate response would be taken for the response to the next request. It is detected
+	// if it arrives during the delay.
 	connReuseDelay   = 10 * time.Millisecond
 	loopLogQueueSize = 256
-	// listPatience is how long a start waits for discovery's list before the one held from before has to do: a new
-	// process is given 6 s to be ready, and discovery fails calls after 2 s.
+	// initialListTimeout is how long a new process waits for discovery before it becomes ready with the cached
+	// list. A new process must be ready within 6 s, and discovery fails calls after 2 s.
 	initialListTimeout = 4 * time.Second
 )
 
-// event is something that happened outside, told to the loop.
+// event is applied by the loop on its own goroutine.
 type event interface{ apply(l *loop) }
 
-// request is a client's request. The frontend fills it in; from then on it is the loop's.
+// request is a client's request. The frontend fills it in and hands it to the loop.
 type request struct {
 	garnettide.Request
-	clientRequestID string // the client's id of it
+	clientRequestID string // the client's X-Request-Id
 	message         message
-	at              time.Duration // when its last byte had come
-	responseCh      chan answer   // holds the one answer
-	clientGone      atomic.Bool   // its client has gone: what is not written yet is not sent on, before the loop hears of it
-	deadline        time.Duration
-	bodyPending     bool // its body still comes: its time has not begun
-	attempts        []*attempt
-	inFlight        int // attempts whose outcome the module has not had
-	closed          bool
-}
-
-// peer is what the loop knows of an upstream's address and connections.
+	at              time.Duration // arrival of the last byte, unless the body is still arriving
+	responseCh      chan answer   // buffered; takes the only response
+	// clientGone prevents attempts from being written, even before the loop handles clientLeft. The frontend and
+	// attempts set it.
+	clientGone  atomic.Bool
+	deadline    time.Duration
+	bodyPending bool // the body is still arriving, and the deadline is not set
+	attempts    []*attempt
+	inFlight    int  // attempts whose outcome has not been reported
+	closed      bool // answered, or the client is gone
+}
+
+// upstream is the address and the connections of an upstream.
 type upstream struct {
 	id            garnettide.UpstreamID
-	discoveryID   string // discovery's id
+	discoveryID   string
 	address       string
 	state         garnettide.State
-	idleConns     []*conn // the most recently used last
+	idleConns     []*conn // most recently used last
 	inFlight      map[*attempt]struct{}
 	lateResponses int
 }
 
-// alarm is a timer of the module's, a request's deadline, or an attempt's time-out.
+// loopTimer is a timer of the Balancer, the deadline of a request, or the time-out of an attempt.
 type loopTimer struct {
 	at      time.Duration
-	serial  uint64 // alarms of one moment go off in the order they were set
+	serial  uint64 // orders timers of the same time
 	token   uint64
 	request *request
 	attempt *attempt
 }
 
+// timers is a heap of timers, the earliest first.
 type timers []loopTimer
 
-func (a timers) Len() int { return len(a) }
-func (a timers) Less(i, j int) bool {
-	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].serial < a[j].serial)
+func (t timers) Len() int { return len(t) }
+func (t timers) Less(i, j int) bool {
+	return t[i].at < t[j].at || (t[i].at == t[j].at && t[i].serial < t[j].serial)
 }
-func (a timers) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *timers) Push(x any)   { *a = append(*a, x.(loopTimer)) }
-func (a *timers) Pop() any {
-	old := *a
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timers) Push(x any)   { *t = append(*t, x.(loopTimer)) }
+func (t *timers) Pop() any {
+	old := *t
 	x := old[len(old)-1]
 	old[len(old)-1] = loopTimer{}
-	*a = old[:len(old)-1]
+	*t = old[:len(old)-1]
 	return x
 }
 
-// loop owns the Balancer, from one goroutine. Everything here runs on that goroutine but for post, now and what is
-// started with go. It never waits for anything but its channels.
+// loop owns the Balancer and runs it on one goroutine. All methods run on that goroutine, except post,
+// postList, now and writeLogs. The loop blocks only on receiving from its channels.
 type loop struct {
 	balancer            *garnettide.Balancer
 	ctx                 context.Context
 	events              chan event
-	listUpdates         chan listUpdate // taken before any event: no send after a drain that has been told
-	adminCalls          chan called     // the operators', taken before any event
+	listUpdates         chan listUpdate // handled before events: nothing is sent to an upstream listed as draining
+	adminCalls          chan called     // operators' calls, handled before events
 	logLines            chan string
 	startTime           time.Time
-	clockBase           time.Duration
+	clockBase           time.Duration // startTime as Unix time
 	discoveryClient     *discoveryClient
-	stopWatch           context.CancelFunc // nil: the module does not follow discovery
+	stopWatch           context.CancelFunc // nil: not watching discovery
 	transport           upstreamTransport
 	memory              holder
 	settings            garnettide.Settings
 	upstreamIdleTimeout time.Duration
 	maxConns            int
-	onListApplied       func(revision uint64) // nil: nobody is told
+	onListApplied       func(revision uint64) // may be nil
 
 	upstreamIDs     *upstreamIDs
 	revision        uint64
-	listReceived    bool // discovery has been heard by this process
-	serial          uint64
+	listReceived    bool   // discovery has answered this process
+	serial          uint64 // last number given to a timer or a request
 	timers          timers
 	requests        map[garnettide.RequestID]*request
-	openIDs         map[string]bool // the clients' ids of these
+	openIDs         map[string]bool // client request IDs of requests
 	upstreams       map[garnettide.UpstreamID]*upstream
-	inMaintenance   map[string]garnettide.UpstreamID // in maintenance, by discovery's ids
+	inMaintenance   map[string]garnettide.UpstreamID // upstreams in maintenance, by discovery ID
 	recentIDs       *recentIDs
-	connCount       int              // connections to upstreams, open or opening
-	pendingOutcomes []pendingOutcome // outcomes that are known but not told: the module is not called while it calls
+	connCount       int              // connections to upstreams, open or being opened
+	pendingOutcomes []pendingOutcome // the Balancer must not be called from within its own calls of Host
 	nextIdleSweep   time.Duration
 }
 
-// pendingOutcome is an outcome to tell as soon as the module has returned.
+// pendingOutcome is an outcome that is reported once the Balancer has returned.
 type pendingOutcome struct {
 	attempt *attempt
 	status  garnettide.Status
@@ -132,52 +136,56 @@
 var _ garnettide.Host = (*loop)(nil)
 
 func newLoop(ctx context.Context, c *Config) *loop {
-	l := &loop{ctx: ctx, events: make(chan event, 1024), listUpdates: make(chan listUpdate, 4), adminCalls: make(chan called, adminConns), logLines: make(chan string, loopLogQueueSize),
-		startTime: time.Now(), transport: upstreamTransport{open: net.DialTimeout, timeout: c.ConnTimeouts.ConnectTimeout}, settings: c.Plan.Settings(),
+	l := &loop{ctx: ctx, events: make(chan event, 1024), listUpdates: make(chan listUpdate, 4),
+		adminCalls: make(chan called, adminConns), logLines: make(chan string, loopLogQueueSize), startTime: time.Now(),
+		transport:           upstreamTransport{open: net.DialTimeout, timeout: c.ConnTimeouts.ConnectTimeout},
+		settings:            c.Plan.Settings(),
 		upstreamIdleTimeout: upstreamIdleTimeout(c.ConnTimeouts), maxConns: c.maxUpstreamConns(),
 		upstreamIDs: newUpstreamIDs(), requests: map[garnettide.RequestID]*request{}, openIDs: map[string]bool{},
-		upstreams: map[garnettide.UpstreamID]*upstream{}, inMaintenance: map[string]garnettide.UpstreamID{}, recentIDs: newRecentIDs(),
-		onListApplied: c.OnListApplied}
-	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
-	// is, also from before this process, and a clock that is set does not move it.
+		upstreams: map[garnettide.UpstreamID]*upstream{}, inMaintenance: map[string]garnettide.UpstreamID{},
+		recentIDs: newRecentIDs(), onListApplied: c.OnListApplied}
+	// The clock starts at Unix time, so that discovery's timestamps can be compared with it, and advances with
+	// the monotonic clock, so that it is not affected when the system clock is set.
 	l.clockBase = time.Duration(l.startTime.UnixNano())
 	l.memory.room.Store(c.bodyMemory())
 	l.transport.now, l.transport.memory = l.now, &l.memory
 	l.transport.onStreamStart = func(a *attempt, r *relay, load garnettide.Load) { l.post(streamStarted{a, r, load}) }
 	l.discoveryClient = newDiscoveryClient(ctx, c.Discovery, l.postList)
-	if c.InheritedFD == 0 { // else this process is ready once it has the list, and a watch answers only when that changes
+	if c.InheritedFD == 0 {
+		// Otherwise the first call fetches the list, which the process needs to be ready: a watch from the cached
+		// revision would answer only when the list changes.
 		l.discoveryClient.recordRevision(c.CachedList.Revision)
 	}
 	return l
 }
 
-// now is the loop's clock.
+// now returns the time on the loop's clock: Unix time, continued by the monotonic clock.
 func (l *loop) now() time.Duration { return l.clockBase + time.Since(l.startTime) }
 
-// post tells the loop of an event. It may wait; the loop never waits for who posts.
+// post sends an event to the loop, from any goroutine. It may block; the loop never waits for the sender.
 func (l *loop) post(e event) { l.events <- e }
 
-// list tells the loop of an answer of discovery.
+// postList sends the result of a discovery call to the loop, from any goroutine.
 func (l *loop) postList(update listUpdate) { l.listUpdates <- update }
 
-// start makes the Balancer and tells it the upstreams that were known before.
+// start creates the Balancer and passes it the cached list. offline lists the upstreams in maintenance.
 func (l *loop) start(c *Config, offline []string) {
 	l.balancer = garnettide.NewWithPlan(c.Plan, c.Seed, l.now(), l)
 	l.applyMaintenance(offline)
 	l.applyList(garnettide.ListCached, c.CachedList)
-	if !l.settings.PollDiscovery { // lists that are pushed come without the module's asking
+	if !l.settings.PollDiscovery { // with PollDiscovery the Balancer requests lists itself
 		l.Watch(true)
 	}
 }
 
-// run handles events until the context ends.
+// run handles events until the loop's context ends.
 func (l *loop) run() {
 	go l.writeLogs()
 	clock := time.NewTimer(0)
 	for {
-		select { // lists and operators go first
-		case x := <-l.listUpdates:
-			l.applyListUpdate(x)
+		select { // lists and operators' calls have priority
+		case update := <-l.listUpdates:
+			l.applyListUpdate(update)
 			continue
 		case e := <-l.adminCalls:
 			e.apply(l)
@@ -190,8 +198,8 @@
 			clock.Reset(max(0, l.timers[0].at-l.now()))
 		}
 		select {
-		case x := <-l.listUpdates:
-			l.applyListUpdate(x)
+		case update := <-l.listUpdates:
+			l.applyListUpdate(update)
 		case e := <-l.adminCalls:
 			e.apply(l)
 			l.reportPending()
@@ -204,33 +212,34 @@
 	}
 }
 
-// handle takes an event, behind the lists that have come before it is handled.
+// handle applies an event after the lists that are already queued.
 func (l *loop) handle(e event) {
 	l.applyQueuedListUpdates()
 	e.apply(l)
 	l.reportPending()
 }
 
-// hearAll takes the lists that have come.
+// applyQueuedListUpdates applies the lists in the queue.
 func (l *loop) applyQueuedListUpdates() {
-	for len(l.listUpdates) > 0 { // only the loop takes from it
+	for len(l.listUpdates) > 0 { // the loop is the only receiver
 		l.applyListUpdate(<-l.listUpdates)
 	}
 }
 
-// ring lets the alarms go off that are due. Each may send something, so each waits for the lists that have come.
+// fireTimers handles the expired timers, each after the lists that are already queued, since a timer may
+// send a request.
 func (l *loop) fireTimers() {
 	for len(l.timers) > 0 && l.timers[0].at <= l.now() {
 		l.applyQueuedListUpdates()
-		switch a := heap.Pop(&l.timers).(loopTimer); {
-		case a.attempt != nil:
-			l.expireAttempt(a.attempt)
-		case a.request != nil:
-			for _, at := range a.request.attempts {
-				l.expireAttempt(at)
+		switch t := heap.Pop(&l.timers).(loopTimer); {
+		case t.attempt != nil:
+			l.expireAttempt(t.attempt)
+		case t.request != nil:
+			for _, a := range t.request.attempts {
+				l.expireAttempt(a)
 			}
 		default:
-			l.balancer.Timer(l.now(), a.token)
+			l.balancer.Timer(l.now(), t.token)
 		}
 		l.reportPending()
 	}
@@ -240,20 +249,20 @@
 	}
 }
 
-func (l *loop) addTimer(a loopTimer) {
+func (l *loop) addTimer(t loopTimer) {
 	l.serial++
-	a.serial = l.serial
-	heap.Push(&l.timers, a)
+	t.serial = l.serial
+	heap.Push(&l.timers, t)
 }
 
 // --- Requests and attempts ---
 
-// arrived is a client's request.
+// requestReceived passes a client's request to the Balancer.
 type requestReceived struct{ *request }
 
 func (e requestReceived) apply(l *loop) {
 	r := e.request
-	if l.openIDs[r.clientRequestID] { // an upstream could not tell the two apart: the newcomer goes, the first is spared
+	if l.openIDs[r.clientRequestID] { // the upstream could not tell the two requests apart
 		r.closed = true
 		l.memory.give(r.message.body)
 		r.responseCh <- answer{status: http.StatusConflict}
@@ -261,7 +270,7 @@
 	}
 	l.openIDs[r.clientRequestID] = true
 	l.serial++
-	r.ID = garnettide.RequestID(l.serial) // the module's own: what clients send need not be unique
+	r.ID = garnettide.RequestID(l.serial) // not the client's ID, which need not be unique
 	now := l.now()
 	if r.Streaming = r.message.rest != nil; r.Streaming {
 		r.bodyPending = true
@@ -274,7 +283,7 @@
 	l.balancer.Request(now, r.Request)
 }
 
-// left is how long the client still waits.
+// remaining returns how long the client still waits. That time starts only when the body is complete.
 func (r *request) remaining(now time.Duration) time.Duration {
 	if r.bodyPending {
 		return r.Budget
@@ -282,7 +291,7 @@
 	return r.deadline - now
 }
 
-// whole tells that an open request's last byte has come: its time begins.
+// bodyReceived reports that the body of a streaming request is complete. Its deadline starts.
 type bodyReceived struct {
 	*request
 	at     time.Duration
@@ -303,7 +312,7 @@
 	l.balancer.BodyComplete(now, r.ID)
 }
 
-// left tells that a client has closed its connection.
+// clientLeft reports that the client has closed its connection.
 type clientLeft struct{ *request }
 
 func (e clientLeft) apply(l *loop) {
@@ -313,7 +322,7 @@
 		l.balancer.ClientGone(l.now(), r.ID)
 		return
 	}
-	select { // it may have been given an answer that it does not take
+	select { // discards a response that the client has not taken
 	case a := <-r.responseCh:
 		if a.relay != nil {
 			a.relay.done <- errResponseUnwanted
@@ -322,7 +331,8 @@
 	}
 }
 
-// begun tells that an answer passes on. It is the client's from here on, and no deadline ends it.
+// streamStarted reports that a response begins to be streamed to the client. From then on no deadline ends
+// its attempt.
 type streamStarted struct {
 	*attempt
 	*relay
@@ -338,11 +348,11 @@
 	a.streamStarted = true
 	l.respond(r, answer{status: http.StatusOK, kind: e.header.Get("Content-Type"), relay: e.relay})
 	now := l.now()
-	l.balancer.ResponseStarted(now, garnettide.Outcome{ID: r.ID, Upstream: a.upstream.id, Attempt: a.index, Latency: now - a.sentAt,
-		Status: garnettide.OK, RequestDone: true, Load: e.load})
+	l.balancer.ResponseStarted(now, garnettide.Outcome{ID: r.ID, Upstream: a.upstream.id, Attempt: a.index,
+		Latency: now - a.sentAt, Status: garnettide.OK, RequestDone: true, Load: e.load})
 }
 
-// finished is the end of an attempt on its connection.
+// attemptFinished reports the end of an attempt on its connection.
 type attemptFinished struct {
 	*attempt
 	attemptResult
@@ -354,7 +364,8 @@
 	if a.awaitsLateResponse {
 		a.upstream.lateResponses--
 	}
-	if c := e.attemptResult.conn; c != nil && a.aborted { // the answer came just then: nothing can be written on it any more
+	if c := e.attemptResult.conn; c != nil && a.aborted {
+		// The response arrived just before the abort, which has closed the connection for writing.
 		l.closeConns(c)
 	} else {
 		l.releaseConn(a.upstream, c)
@@ -363,7 +374,8 @@
 	l.dropIfRemoved(a.upstream)
 }
 
-// tell gives the module an attempt's one outcome, and the client the answer if it is served.
+// reportOutcome reports the only outcome of an attempt to the Balancer, and answers the client if it
+// succeeded.
 func (l *loop) reportOutcome(a *attempt, result attemptResult) {
 	if a.reported {
 		return
@@ -377,11 +389,12 @@
 	a.neverRan = result.status.NeverRan()
 	closed := req.closed
 	l.releaseRequest(req)
-	l.balancer.Outcome(now, garnettide.Outcome{ID: req.ID, Upstream: a.upstream.id, Attempt: a.index, Latency: now - a.sentAt,
-		Status: result.status, RequestDone: closed, BodyConsumed: req.message.rest != nil && req.message.rest.taken.Load(), Load: result.load})
+	l.balancer.Outcome(now, garnettide.Outcome{ID: req.ID, Upstream: a.upstream.id, Attempt: a.index,
+		Latency: now - a.sentAt, Status: result.status, RequestDone: closed,
+		BodyConsumed: req.message.rest != nil && req.message.rest.taken.Load(), Load: result.load})
 }
 
-// settle tells the outcomes that came up while the module was calling.
+// reportPending reports the outcomes that were collected while the Balancer was running.
 func (l *loop) reportPending() {
 	for len(l.pendingOutcomes) > 0 {
 		o := l.pendingOutcomes[0]
@@ -391,7 +404,8 @@
 	l.pendingOutcomes = nil
 }
 
-// end stops waiting for an attempt. One that was never written is moot.
+// endAttempt ends an attempt with a status, or with NotSent if it was not written. The connection may stay
+// open for a late response.
 func (l *loop) endAttempt(a *attempt, status garnettide.Status) {
 	if a.reported {
 		return
@@ -399,11 +413,12 @@
 	if a.drop() {
 		status = garnettide.NotSent
 	} else if a.stage.Load() >= attemptClaimed {
-		if a.uploadDone == nil && (a.req.closed || l.now() >= a.req.deadline) && a.upstream.lateResponses < maxLateResponses && l.usable(a.upstream) {
+		if a.uploadDone == nil && (a.req.closed || l.now() >= a.req.deadline) &&
+			a.upstream.lateResponses < maxLateResponses && l.usable(a.upstream) {
 			a.awaitsLateResponse = true
 			a.upstream.lateResponses++
 			a.setReadDeadline(time.Now().Add(lateResponseTimeout))
-		} else { // before the module is told: what it sends next would count as a second copy
+		} else { // before the outcome is reported: a retry must not be written beside this attempt
 			a.aborted = true
 			a.abort()
 		}
@@ -411,14 +426,14 @@
 	l.reportOutcome(a, attemptResult{status: status})
 }
 
-// expire ends an attempt whose time is up.
+// expireAttempt ends an attempt that has timed out, unless its response is being streamed.
 func (l *loop) expireAttempt(a *attempt) {
 	if !a.reported && !a.streamStarted {
 		l.endAttempt(a, garnettide.Timeout)
 	}
 }
 
-// answer gives a client the one answer.
+// respond sends the only response to a request, if it is still open.
 func (l *loop) respond(r *request, a answer) {
 	if !r.closed {
 		l.close(r)
@@ -426,8 +441,8 @@
 	}
 }
 
-// close notes that nothing more is owed for r. What of it still waits for a connection goes nowhere from here on: a
-// second copy that is written behind the answer would be a request that nobody asks any more.
+// close marks a request as done. Attempts that are still waiting for a connection are dropped, so that
+// nothing is written after the final response.
 func (l *loop) close(r *request) {
 	r.closed = true
 	for _, a := range r.attempts {
@@ -438,7 +453,7 @@
 	l.releaseRequest(r)
 }
 
-// release forgets a request that is closed and has nothing out.
+// releaseRequest removes a request that is closed and has no attempts in flight.
 func (l *loop) releaseRequest(r *request) {
 	if r.closed && r.inFlight == 0 {
 		if _, open := l.requests[r.ID]; open {
@@ -449,19 +464,19 @@
 	}
 }
 
-// --- Host: what the module asks for ---
+// --- Host: actions of the Balancer ---
 
-// Send makes an attempt.
+// Send starts an attempt.
 func (l *loop) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, window time.Duration) {
 	r, u := l.requests[id], l.upstreams[up]
-	if r == nil || u == nil { // the module sends what it was told of, where it was told
-		l.Log(fmt.Sprintf("send of unknown request %d or upstream %d", id, up))
+	if r == nil || u == nil { // the Balancer knows only requests and upstreams of the loop
+		l.Log(fmt.Sprintf("send with unknown request %d or upstream %d", id, up))
 		return
 	}
 	now := l.now()
 	a := &attempt{req: r, index: len(r.attempts), upstream: u, sentAt: now, address: u.address, message: &r.message}
 	for _, other := range r.attempts {
-		if window > 0 && !other.neverRan { // connections come up late, and in any order
+		if window > 0 && !other.neverRan { // connections may be opened late and in any order
 			a.writeBefore(other.sentAt + window)
 			other.writeBefore(now + window)
 		}
@@ -484,19 +499,20 @@
 		return
 	}
 	var available bool
-	if a.conn, available = l.acquireConn(u, now); !available { // no fault of the upstream's
+	if a.conn, available = l.acquireConn(u, now); !available { // not the upstream's fault
 		a.drop()
 		l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, garnettide.NotSent})
 		return
 	}
 	u.inFlight[a] = struct{}{}
-	go func(d upstreamTransport) { // as it is now: a reload may change it
-		l.post(attemptFinished{a, d.run(a)})
+	go func(t upstreamTransport) { // a copy: a reload may change the loop's
+		l.post(attemptFinished{a, t.run(a)})
 	}(l.transport)
 }
 
-// connection takes an idle connection to p, the most recently used that has rested, or else counts one that is to be
-// opened (nil). Where no more may be open the one that idles longest makes room.
+// acquireConn returns the most recently used idle connection to u that is past connReuseDelay. If there is
+// none it returns nil, and counts a connection that the caller opens. At the limit it closes the connection
+// that has been idle longest, and reports false if none is idle.
 func (l *loop) acquireConn(u *upstream, now time.Duration) (c *conn, available bool) {
 	for i := len(u.idleConns) - 1; i >= 0; i-- {
 		if now-u.idleConns[i].idleAt >= connReuseDelay {
@@ -512,17 +528,18 @@
 	return nil, true
 }
 
-// Refuse answers a client that another try is harmless.
+// Refuse answers that the request was not served and may be retried.
 func (l *loop) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil {
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
 		}
-		l.respond(r, answer{status: http.StatusServiceUnavailable, retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
+		l.respond(r, answer{status: http.StatusServiceUnavailable,
+			retryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
 	}
 }
 
-// Fail answers a client with no promise.
+// Fail answers that the request failed and may have been executed.
 func (l *loop) Fail(id garnettide.RequestID) {
 	if r := l.requests[id]; r != nil {
 		status := http.StatusBadGateway
@@ -533,19 +550,19 @@
 	}
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel ends an attempt, unless its response is being streamed.
 func (l *loop) Cancel(id garnettide.RequestID, n int) {
 	if r := l.requests[id]; r != nil && n >= 0 && n < len(r.attempts) && !r.attempts[n].streamStarted {
 		l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{r.attempts[n], garnettide.Cancelled})
 	}
 }
 
-// SetTimer asks for a Timer event.
+// SetTimer schedules a call of Balancer.Timer.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
 	l.addTimer(loopTimer{at: l.now() + max(after, 0), token: token})
 }
 
-// Log writes a line to the log, or drops it rather than wait.
+// Log queues a line for the log. It drops the line if the queue is full.
 func (l *loop) Log(text string) {
 	select {
 	case l.logLines <- text:
@@ -564,7 +581,7 @@
 	}
 }
 
-// Watch begins to follow discovery, or ends it.
+// Watch starts or stops watching discovery.
 func (l *loop) Watch(on bool) {
 	if l.stopWatch != nil {
 		l.stopWatch()
@@ -577,10 +594,10 @@
 	}
 }
 
-// Fetch asks discovery for the whole list.
+// Fetch requests the whole list from discovery.
 func (l *loop) Fetch() { go l.discoveryClient.fetch() }
 
-// Probe asks an upstream for its load.
+// Probe requests an upstream's load report, or only its health if reports are disabled.
 func (l *loop) Probe(up garnettide.UpstreamID) {
 	u := l.upstreams[up]
 	if u == nil || !l.usable(u) {
@@ -591,12 +608,12 @@
 	if p.conn, available = l.acquireConn(u, p.sentAt); !available {
 		return
 	}
-	go func(d upstreamTransport) {
-		l.post(probeFinished{p, d.probe(p)})
+	go func(t upstreamTransport) {
+		l.post(probeFinished{p, t.probe(p)})
 	}(l.transport)
 }
 
-// probed is the end of a probe.
+// probeFinished reports the end of a probe.
 type probeFinished struct {
 	*probe
 	attemptResult
@@ -605,19 +622,20 @@
 func (e probeFinished) apply(l *loop) {
 	l.releaseConn(e.upstream, e.attemptResult.conn)
 	now := l.now()
-	l.balancer.Probed(now, garnettide.ProbeResult{Upstream: e.upstream.id, Latency: now - e.sentAt, Status: e.status, Load: e.attemptResult.load})
+	l.balancer.Probed(now, garnettide.ProbeResult{Upstream: e.upstream.id, Latency: now - e.sentAt,
+		Status: e.status, Load: e.attemptResult.load})
 }
 
 // --- Connections ---
 
-// keep takes back a connection after use; nil means that it has been closed.
+// releaseConn takes back a connection after use; nil stands for one that has been closed.
 func (l *loop) releaseConn(u *upstream, c *conn) {
 	switch {
 	case c == nil:
 		l.connCount--
 	case !l.usable(u) || c.RemoteAddr().String() != u.address:
 		l.closeConns(c)
-	case c.SetDeadline(time.Time{}) != nil: // a time-out may have been set as the answer came
+	case c.SetDeadline(time.Time{}) != nil: // a deadline may have been set as the response arrived
 		l.closeConns(c)
 	default:
 		c.idleAt = l.now()
@@ -625,7 +643,7 @@
 	}
 }
 
-// shut closes idle connections, away from the loop.
+// closeConns closes idle connections on another goroutine, so that the loop does not wait.
 func (l *loop) closeConns(cs ...*conn) {
 	if l.connCount -= len(cs); len(cs) > 0 {
 		go func() {
@@ -636,14 +654,14 @@
 	}
 }
 
-// limit bounds the connections to upstreams. Idle ones over it are closed.
+// setConnLimit limits the connections to upstreams, and closes idle ones over the limit.
 func (l *loop) setConnLimit(limit int) {
 	l.maxConns = limit
 	for l.connCount > limit && l.closeLongestIdle() {
 	}
 }
 
-// shutLongest closes the connection that idles longest; none: false.
+// closeLongestIdle closes the connection that has been idle longest, and reports whether there was one.
 func (l *loop) closeLongestIdle() bool {
 	var longest *upstream
 	for _, u := range l.upstreams {
@@ -659,7 +677,8 @@
 	return true
 }
 
-// sweep closes connections that have idled for long. The least recently used stand first.
+// closeExpiredIdle closes connections that have reached the idle timeout. The least recently used come
+// first.
 func (l *loop) closeExpiredIdle(now time.Duration) {
 	for _, u := range l.upstreams {
 		n := 0
@@ -681,7 +700,7 @@
 	}
 }
 
-// forget drops an upstream that is gone and has nothing out.
+// dropIfRemoved deletes an upstream that has been removed and has no attempts in flight.
 func (l *loop) dropIfRemoved(u *upstream) {
 	if u.state == garnettide.Removed && len(u.inFlight) == 0 && l.upstreams[u.id] == u {
 		delete(l.upstreams, u.id)
@@ -689,20 +708,22 @@
 	}
 }
 
-// unname frees the number of an id that is gone. In maintenance it keeps it: the module goes by the number.
+// releaseID frees the number of a discovery ID, unless the upstream is in maintenance: the Balancer
+// identifies it by that number.
 func (l *loop) releaseID(id string) {
 	if _, inMaintenance := l.inMaintenance[id]; !inMaintenance {
 		l.upstreamIDs.release(id)
 	}
 }
 
-// usable tells whether something may be sent to p.
+// usable reports whether requests may be sent to u.
 func (l *loop) usable(u *upstream) bool {
 	_, inMaintenance := l.inMaintenance[u.discoveryID]
 	return u.state == garnettide.Active && !inMaintenance
 }
 
-// obey goes by what operators have called for, and tells what maintain does.
+// applyMaintenance puts exactly the offline upstreams in maintenance. It reports true once no request is
+// being written to them.
 func (l *loop) applyMaintenance(offline []string) bool {
 	written := true
 	for id := range l.inMaintenance {
@@ -716,8 +737,8 @@
 	return written
 }
 
-// maintain leaves an upstream out, or ends that. It tells whether nothing of what the upstream was sent before is
-// still about to be written.
+// setMaintenance puts an upstream in maintenance or ends its maintenance. It reports false while a request
+// is being written to the upstream.
 func (l *loop) setMaintenance(id string, out bool) bool {
 	number, inMaintenance := l.inMaintenance[id]
 	if !out {
@@ -740,7 +761,7 @@
 	if u := l.upstreams[number]; u != nil {
 		l.Disconnect(number)
 		for a := range u.inFlight {
-			if a.drop() { // it waited for a connection
+			if a.drop() { // it was waiting for a connection
 				l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, garnettide.NotSent})
 			}
 			written = written && a.stage.Load() != attemptClaimed
@@ -752,10 +773,10 @@
 
 // --- Discovery ---
 
-// hear takes an answer of discovery.
+// applyListUpdate handles the result of a discovery call.
 func (l *loop) applyListUpdate(update listUpdate) {
 	switch {
-	case update.from != l.discoveryClient: // asked before discovery moved
+	case update.from != l.discoveryClient: // from a discovery address that has been replaced
 		return
 	case errors.Is(update.err, errWatchSilent):
 		l.Log(update.err.Error())
@@ -763,8 +784,8 @@
 	case update.err != nil:
 		l.Log(update.err.Error())
 		l.balancer.Members(l.now(), garnettide.ListFailed, nil)
-	case update.Revision < l.revision: // overtaken by a newer one: it must not undo that
-		l.Log(fmt.Sprintf("discovery: revision %d after %d passed over", update.Revision, l.revision))
+	case update.Revision < l.revision: // a newer list has been applied
+		l.Log(fmt.Sprintf("discovery: ignoring revision %d, already at %d", update.Revision, l.revision))
 	case update.Complete:
 		l.listReceived = true
 		l.applyList(garnettide.ListFull, update.discoveryList)
@@ -775,8 +796,8 @@
 	l.reportPending()
 }
 
-// missing says what this process lacks to serve; nothing once it can. A list held from before has to do where
-// discovery does not answer.
+// missing returns what this process lacks to be ready, or an empty string. The cached list suffices if
+// discovery has not answered within initialListTimeout.
 func (l *loop) missing() string {
 	if !l.listReceived && (len(l.upstreams) == 0 || l.now()-l.clockBase < initialListTimeout) {
 		return "discovery has not told its list yet"
@@ -784,8 +805,8 @@
 	return ""
 }
 
-// members applies a list: first to the peers, so that nothing goes to one that drains, then to the module, which
-// may send at once.
+// applyList applies a list, first to the loop's upstreams and then to the Balancer. The Balancer may send
+// at once, and nothing must be sent to an upstream that is draining.
 func (l *loop) applyList(mode garnettide.ListMode, list discoveryList) {
 	l.revision = list.Revision
 	entries := make([]garnettide.Upstream, 0, len(list.Members))
@@ -805,7 +826,7 @@
 		}
 		if u.state != garnettide.Active {
 			for a := range u.inFlight {
-				if a.drop() { // its upstream left while it waited for a connection
+				if a.drop() { // it was waiting for a connection
 					l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, garnettide.NotSent})
 				}
 			}
@@ -821,7 +842,7 @@
 	}
 }
 
-// peer applies a list's entry.
+// applyMember applies one entry of a list.
 func (l *loop) applyMember(entry garnettide.Upstream, m *member) {
 	u, address := l.upstreams[entry.ID], m.HostPort
 	if u == nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -5,13 +5,13 @@
 	"net"
 )
 
-// Run serves the clients of listener until ctx ends, and then until all that was taken is answered. Each
-// configuration from reloads, which a Reloader makes, takes the place of the one before.
+// Run serves the clients of listener until ctx ends, and returns when the requests accepted until then have
+// been answered. It applies each configuration from reloads, which a Reloader sends.
 func Run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload) error {
 	return run(ctx, c, listener, reloads, func(*loop) {})
 }
 
-// run is Run; made is told of the loop before it turns.
+// run implements Run. onLoop is called with the loop before it starts.
 func run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload, onLoop func(*loop)) error {
 	loopCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -24,7 +24,7 @@
 	front := newFrontend(&c, listener, l)
 	var state *stateFile
 	var savedOrders orders
-	if adminListener != nil { // who can be given no orders keeps none
+	if adminListener != nil { // without an admin listener there are no orders to keep
 		if state, err = openStateFile(&c); err != nil {
 			return err
 		}
@@ -32,7 +32,7 @@
 		savedOrders = *state.held.Load()
 	}
 	l.start(&c, savedOrders.Offline)
-	c.Plan, c.CachedList = nil, discoveryList{} // others hold what is in force
+	c.Plan, c.CachedList = nil, discoveryList{} // the loop has the current ones
 	front.drain(savedOrders.OutOfService)
 	go l.run()
 	mayAccept := make(chan struct{})
@@ -49,7 +49,7 @@
 	} else {
 		close(mayAccept)
 	}
-	go func() { // beside an older process this one takes connections once it is ready
+	go func() { // beside an older process this one accepts connections only once it is ready
 		select {
 		case <-mayAccept:
 			serveErrs <- front.serve()
@@ -59,7 +59,7 @@
 	done, stopped := ctx.Done(), make(chan struct{})
 	for {
 		select {
-		case x := <-reloads: // also while what was taken is answered: discovery may be moving just then
+		case x := <-reloads: // also during shutdown, since the address of discovery may change
 			l.post(configReloaded{x, front})
 		case err := <-serveErrs:
 			if done != nil {
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -14,27 +14,27 @@
 	"garnettide/internal/wire"
 )
 
-// This file puts a configuration in force that has changed: it is read, checked and built away from the loop, and handed
-// over whole. docs/RELOAD.md tells why it is done so.
+// This file applies changed configurations. A configuration is read, checked and built outside the loop,
+// and then handed to the loop as a whole. See docs/RELOAD.md.
 
 const (
-	// slice is how long the work of a reload goes on before it lets everything else run for as long. The process has one
-	// core, and the loop waits for the end of a slice; 3.6 ms is all that may be added to a request.
+	// reloadSlice is how long a reload works before it pauses for the same time. The process has one core, so
+	// the loop may have to wait for the end of a slice.
 	reloadSlice = 250 * time.Microsecond
-	// pieceRead is how much of the file is read, or hashed, between two looks at the time: some 0.1 ms.
+	// configChunkSize is how much of the file is read or hashed between two checks of the time.
 	configChunkSize   = 32 << 10
-	stepsPerTimeCheck = 16 // small steps between two looks at the time
-	configHashBytes   = 6  // bytes of a file's SHA-256 that name it
+	stepsPerTimeCheck = 16 // work steps between two checks of the time
+	configHashBytes   = 6  // bytes of a file's SHA-256 shown as its hash
 )
 
-// slicer cuts work that may be long into slices, between which it sleeps; nil never sleeps.
+// workSlicer divides long work into slices and pauses between them. A nil workSlicer never pauses.
 type workSlicer struct {
 	steps      int
 	sliceStart time.Time
 	pause      func(worked time.Duration)
 }
 
-// step follows a small part of the work, some microseconds.
+// step is called after each small step of work, of a few microseconds.
 func (s *workSlicer) step() {
 	if s == nil {
 		return
@@ -44,20 +44,20 @@
 	}
 }
 
-// look sleeps for as long as the slice has worked, once it is over.
+// checkTime pauses for as long as the slice has lasted, once it has lasted for reloadSlice.
 func (s *workSlicer) checkTime() {
 	if s == nil {
 		return
 	}
 	s.steps = 0
 	if worked := time.Since(s.sliceStart); worked >= reloadSlice {
-		s.pause(min(worked, 4*reloadSlice)) // what is longer was not all work
+		s.pause(min(worked, 4*reloadSlice)) // a longer slice includes time spent waiting
 		s.sliceStart = time.Now()
 	}
 }
 
-// filePieces are a file, to be read one after another: a buffer of its whole size would be allocated, and paid for to the
-// collector, at a stretch.
+// fileChunks is the content of a file in chunks, for reading. A single buffer of the file's size would take
+// long to allocate and add to the garbage collector's work all at once.
 type fileChunks [][]byte
 
 // Read implements io.Reader.
@@ -72,7 +72,8 @@
 	return n, nil
 }
 
-// readConfig reads the configuration file at one go, which may be written over later, and hashes it.
+// readConfig reads the whole configuration file before it is decoded, since it may be overwritten, and
+// hashes it.
 func readConfig(getenv func(string) string, slicer *workSlicer) (text io.Reader, hash string, err error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
@@ -102,20 +103,21 @@
 	return &chunks, fmt.Sprintf("%x", sum.Sum(nil)[:configHashBytes]), nil
 }
 
-// Reload is a configuration that was read again, checked and built: all that is left is to go by it.
+// Reload is a changed configuration that has been checked and built, ready to be applied.
 type Reload struct {
 	Discovery    string
 	ConnTimeouts wire.Links
 	Plan         *garnettide.Plan
-	PlanDiff     garnettide.PlanDiff // over the Reload before
+	PlanDiff     garnettide.PlanDiff // from the previous configuration
 	Hash         string
 
 	signalledAt time.Time
 	onApplied   func(hash string, took time.Duration)
-	applied     chan time.Duration // how long that took from the signal; it holds one, so the loop never waits
+	applied     chan time.Duration // buffered; receives the time since the signal once the configuration is in force
 }
 
-// reloaded has the loop, and the frontend if there is one, go by a configuration.
+// configReloaded applies a configuration to the loop and to the frontend. front is nil if there are no
+// clients.
 type configReloaded struct {
 	Reload
 	front *frontend
@@ -125,11 +127,12 @@
 	l.balancer.Reconfigure(l.now(), e.Plan, e.PlanDiff)
 	l.settings = e.Plan.Settings()
 	l.transport.timeout, l.upstreamIdleTimeout = e.ConnTimeouts.ConnectTimeout, upstreamIdleTimeout(e.ConnTimeouts)
-	if e.front != nil { // last: what it lets pass by the new plan the module knows
+	if e.front != nil { // last: the Balancer must know the plan before requests are read with it
 		e.front.plan.Store(e.Plan)
 	}
 	if e.Discovery != l.discoveryClient.address {
-		l.Log(fmt.Sprintf("configuration read again: discovery is at %s, no longer at %s", e.Discovery, l.discoveryClient.address))
+		l.Log(fmt.Sprintf("configuration read again: discovery is at %s, no longer at %s", e.Discovery,
+			l.discoveryClient.address))
 		l.discoveryClient.shutdown()
 		l.discoveryClient, l.revision = newDiscoveryClient(l.ctx, e.Discovery, l.postList), 0
 		if l.stopWatch != nil {
@@ -145,24 +148,25 @@
 	}
 }
 
-// idleFor is how long a connection to an upstream may idle.
+// upstreamIdleTimeout returns how long a connection to an upstream may be idle.
 func upstreamIdleTimeout(timeouts wire.Links) time.Duration {
 	return max(timeouts.KeepAlive-idleCloseMargin, timeouts.KeepAlive/2)
 }
 
-// Reloader reads a process's configuration again on each signal, and makes a Reload of it.
+// Reloader reads a process's configuration again on each signal and produces a Reload.
 type Reloader struct {
 	getenv       func(string) string
-	start        Config           // what can't change
-	previousPlan *garnettide.Plan // of the Reload before, or of the start
-	lastReload   Reload           // that one, without what it changed
+	start        Config           // settings fixed at the start
+	previousPlan *garnettide.Plan // plan of the previous Reload, or of the start
+	lastReload   Reload           // without PlanDiff and applied
 	appliedHash  string           // of the file in force
-	pendingSince time.Time        // the first signal since the one that is being followed; zero: none
+	pendingSince time.Time        // first signal that has not been handled; zero: none
 	log          *slog.Logger
 	sleep        func(time.Duration)
 }
 
-// NewReloader returns a Reloader for a process that was started with a configuration. getenv is what LoadConfig was given.
+// NewReloader returns a Reloader for a process that was started with a configuration. getenv is the
+// function that was passed to LoadConfig.
 func NewReloader(getenv func(string) string, start Config) *Reloader {
 	r := &Reloader{getenv: getenv, start: start, previousPlan: start.Plan, appliedHash: start.Hash, log: slog.Default(),
 		sleep: time.Sleep}
@@ -170,9 +174,9 @@
 	return r
 }
 
-// Follow reads the configuration again on each signal from hangups and hands it to reloads, until ctx ends. A configuration
-// that can't be read or is not valid is logged, and the one before stays. Signals that come meanwhile are noted: the file
-// is read once more for them. Each configuration goes in force before the next one is read, so the newest counts.
+// Follow reads the configuration again on each signal from hangups and sends it to reloads, until ctx ends.
+// An invalid or unreadable configuration is logged and the current one stays in force. Signals that arrive
+// in the meantime cause one more reading. Each configuration is in force before the next one is read.
 func (r *Reloader) Follow(ctx context.Context, hangups <-chan os.Signal, reloads chan<- Reload) {
 	for {
 		if r.pendingSince.IsZero() {
@@ -212,14 +216,14 @@
 	}
 }
 
-// note notes a signal.
+// noteSignal records a signal.
 func (r *Reloader) noteSignal() {
 	if r.pendingSince.IsZero() {
 		r.pendingSince = time.Now()
 	}
 }
 
-// look notes a signal if there is one.
+// pollSignal records a signal if one has arrived.
 func (r *Reloader) pollSignal(hangups <-chan os.Signal) {
 	select {
 	case <-hangups:
@@ -228,8 +232,8 @@
 	}
 }
 
-// read reads, checks and builds the configuration. RELAY_DISCOVERY still names the address of the start, so the file's
-// goes before it.
+// read reads, checks and builds the configuration. RELAY_DISCOVERY still holds the address of the start, so
+// it does not override the file's.
 func (r *Reloader) read(slicer *workSlicer) (Reload, error) {
 	getenv := func(name string) string {
 		if name == "RELAY_DISCOVERY" {
@@ -247,7 +251,8 @@
 			return Reload{}, err
 		}
 		r.warnFixedSettings(&c)
-		r.lastReload = Reload{Discovery: c.Discovery, ConnTimeouts: c.ConnTimeouts, Plan: c.Plan, Hash: hash, onApplied: r.start.OnConfigApplied}
+		r.lastReload = Reload{Discovery: c.Discovery, ConnTimeouts: c.ConnTimeouts, Plan: c.Plan, Hash: hash,
+			onApplied: r.start.OnConfigApplied}
 	}
 	reload := r.lastReload
 	reload.PlanDiff, reload.applied = reload.Plan.Since(r.previousPlan, slicer.step), make(chan time.Duration, 1)
@@ -255,7 +260,7 @@
 	return reload, nil
 }
 
-// keep logs what differs from the start and can't change in a running process.
+// warnFixedSettings logs the settings that differ from those of the start and cannot change at run time.
 func (r *Reloader) warnFixedSettings(c *Config) {
 	for _, x := range []struct {
 		setting         string
@@ -272,7 +277,7 @@
 	}
 }
 
-// report logs which configuration is in force.
+// logApplied logs which configuration is in force.
 func (r *Reloader) logApplied(reload Reload, took time.Duration) {
 	if reload.Hash == r.appliedHash {
 		r.log.Info("configuration in force: the file's bytes are the same as before", "hash", reload.Hash, "took", took)
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -17,48 +17,48 @@
 	"garnettide/internal/wire"
 )
 
-// This file carries out one attempt on one connection. http.Transport is not used
-// for it: it may write a request again by itself when a kept connection breaks,
-// closes the connection of an attempt that is given up, and does not tell whether
+// This file makes one attempt on one connection. http.Transport is not used: it may resend a request when a
+// reused connection breaks, it closes the connection of a cancelled request, and it does not report whether
 // the last byte was written.
 
 const (
-	// holdFor is how long an answer of unknown length is held from its head on: a small one is whole by then, and its
-	// attempt can be made again if it breaks, while the first bytes of a large one are what its client waits for.
+	// responseBufferTime is how long a response of unknown length is buffered, from the end of its head. An
+	// attempt whose response is still buffered can be retried if the connection breaks.
 	responseBufferTime = 50 * time.Millisecond
-	// sentWait is how long an answer to an open request waits for the write of the request's last byte to return.
+	// uploadDoneTimeout is how long a response to a streaming request waits for the write of the request's last
+	// byte to return.
 	uploadDoneTimeout = 20 * time.Millisecond
-	// bodyIdleTimeout is how long a peer may take nothing, or give nothing, of a body that passes on. It is far over what a
-	// slow line takes for a piece.
+	// bodyIdleTimeout is how long a peer may make no progress on a streamed body.
 	bodyIdleTimeout = 10 * time.Second
 )
 
-// maxUtil bounds the use that a load report can mean: all cores busy is 1, give or take its noise.
+// maxUtil is the largest CPU utilisation accepted in a load report. All cores busy is 1, and the measure is
+// noisy.
 const maxUtil = 2
 
-// conn is a connection to an upstream. It belongs to one attempt or, idle, to the
-// loop; nobody else touches it.
+// conn is a connection to an upstream. It is owned by one attempt or probe or, while idle, by the loop.
 type conn struct {
 	*stream
-	idleAt time.Duration // on the loop's clock
+	idleAt time.Duration // by the loop's clock
 }
 
-// errStale says that a kept connection was closed by the other side while idle.
-var errIdleConnClosed = errors.New("closed while idle")
+// errIdleConnClosed reports that the peer closed an idle connection or sent unexpected bytes on it.
+var errIdleConnClosed = errors.New("idle connection was closed")
 
-// fresh looks, without waiting, whether an idle connection still stands.
+// checkIdle reports, without blocking, whether an idle connection can still be used.
 func (c *conn) checkIdle() error {
 	if checkNoInput(c.Conn) != nil || c.in.Buffered() > 0 {
-		return errIdleConnClosed // closed, or bytes that nobody asked for
+		return errIdleConnClosed
 	}
 	return nil
 }
 
-// errUnasked says that bytes have come that nobody asked for.
-var errUnexpectedBytes = errors.New("bytes that nobody asked for")
+// errUnexpectedBytes reports that bytes arrived on a connection on which none are expected.
+var errUnexpectedBytes = errors.New("unexpected bytes on the connection")
 
-// quiet looks, without waiting, what has come on a connection that nobody reads: nothing, which is no error, its end, or
-// bytes, of which it takes the first.
+// checkNoInput checks, without blocking, a connection that nobody reads. It returns nil if nothing has
+// arrived, errUnexpectedBytes after consuming one byte, io.EOF if the peer closed the connection, or the
+// read error.
 func checkNoInput(c net.Conn) error {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -84,8 +84,7 @@
 	return io.EOF
 }
 
-// The stages of an attempt. The loop may drop one that waits for its connection;
-// what has been claimed for writing counts as sent.
+// The stages of an attempt. The loop may drop a waiting attempt. A claimed one counts as sent.
 const (
 	attemptWaiting int32 = iota
 	attemptDropped
@@ -96,50 +95,51 @@
 // attempt is one send of a request to an upstream.
 type attempt struct {
 	req                *request
-	index              int // order of the request's sends, from 0
+	index              int // index among the request's attempts, from 0
 	upstream           *upstream
-	sentAt             time.Duration
+	sentAt             time.Duration // time of Send or, if it arrives later, of the request's last byte
 	address            string
 	message            *message
-	responseTimeout    time.Duration // for its answer, from its Send on, or from its last byte if that still comes
-	responseDeadline   time.Duration // when that is over; 0: its last byte still comes
-	writeDeadline      atomic.Int64  // it is written before then or not at all, beside other attempts; 0: no such bound
+	responseTimeout    time.Duration // from Send, or from the request's last byte if that was pending
+	responseDeadline   time.Duration // 0: the request's last byte was pending at Send
+	writeDeadline      atomic.Int64  // loop's clock; latest time for writing, if other attempts may run; 0: none
 	stage              atomic.Int32
-	readDeadline       atomic.Int64  // reading ends then, Unix ns; 0: the loop has set no limit
-	uploadDone         chan struct{} // closed when the rest of an open request has been written, or will not be
-	uploadComplete     atomic.Bool   // and it was written whole
-	uploadAborted      atomic.Bool   // it was not, and that was the client's doing
-	conn               *conn         // read by the loop only once the attempt is claimed
-	reported           bool          // the loop: the module has had its outcome
-	awaitsLateResponse bool          // the loop: it is left to its connection for the late answer
-	aborted            bool          // the loop: its connection has been ended
-	streamStarted      bool          // the loop: its answer passes on
-	neverRan           bool          // the loop: it is known never to have run
+	readDeadline       atomic.Int64  // Unix nanoseconds: end of reading; 0: not set by the loop
+	uploadDone         chan struct{} // closed when the upload has ended; nil: the request is not streaming
+	uploadComplete     atomic.Bool   // the whole body was written
+	uploadAborted      atomic.Bool   // the upload failed because of the client
+	conn               *conn         // the loop reads it only after the attempt is claimed
+	reported           bool          // loop only: the Balancer has the outcome
+	awaitsLateResponse bool          // loop only: kept open for a late response
+	aborted            bool          // loop only: abort was called
+	streamStarted      bool          // loop only: the response is being streamed to the client
+	neverRan           bool          // loop only: the request was not executed
 }
 
-// before bounds the time at which a may be written. Only the loop sets it.
+// writeBefore lowers the deadline for writing the request. Only the loop calls it.
 func (a *attempt) writeBefore(at time.Duration) {
 	if writeDeadline := a.writeDeadline.Load(); writeDeadline == 0 || int64(at) < writeDeadline {
 		a.writeDeadline.Store(int64(at))
 	}
 }
 
-// limit ends the reading of the answer at a time.
+// setReadDeadline ends the reading of the response at a time.
 func (a *attempt) setReadDeadline(readDeadline time.Time) {
 	a.readDeadline.Store(readDeadline.UnixNano())
 	a.conn.SetReadDeadline(readDeadline)
 }
 
-// giveUp ends an attempt that has been claimed, for the upstream at once: its connection is closed by who reads it, and
-// that may be later than another attempt is written.
+// abort ends a claimed attempt at once from the upstream's point of view. The reading goroutine closes the
+// connection, which may happen after another attempt has been written.
 func (a *attempt) abort() {
 	if half, ok := a.conn.Conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite() // if it fails there is no connection any more
+		half.CloseWrite() // fails only if the connection is already broken
 	}
 	a.setReadDeadline(time.Unix(0, 1))
 }
 
-// awaits waits for bytes of the answer until a time; false: none came by then.
+// waitReadable waits until reading the response would not block. It reports false if that takes longer than
+// readDeadline.
 func (a *attempt) waitReadable(readDeadline time.Time) bool {
 	if a.conn.in.Buffered() > 0 {
 		return true
@@ -147,53 +147,53 @@
 	a.conn.SetReadDeadline(readDeadline)
 	_, err := a.conn.in.Peek(1)
 	a.conn.SetReadDeadline(time.Time{})
-	if at := a.readDeadline.Load(); at != 0 { // the loop has set a limit meanwhile
+	if at := a.readDeadline.Load(); at != 0 { // set by the loop in the meantime
 		a.conn.SetReadDeadline(time.Unix(0, at))
 	}
 	timeout := net.Error(nil)
 	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
-// relay is an answer that passes on as it comes. The client's side reads it off the upstream's connection and then says
-// how that ended.
+// relay is a response that is streamed to the client. The frontend reads the body from the upstream's
+// connection and sends the result to done.
 type relay struct {
 	reply
 	conn     *conn
-	buffered []byte // its first bytes
+	buffered []byte // start of the body, already read
 	done     chan error
 }
 
-// errUnwanted says that nobody waits for an answer any more.
-var errResponseUnwanted = errors.New("nobody waits for the answer")
+// errResponseUnwanted reports that the client no longer waits for a response.
+var errResponseUnwanted = errors.New("response is no longer wanted")
 
-// drop keeps an attempt that has not begun to be written from being sent.
+// drop prevents a waiting attempt from being written, and reports whether it did.
 func (a *attempt) drop() bool { return a.stage.CompareAndSwap(attemptWaiting, attemptDropped) }
 
-// result is how an attempt ended, with its connection if that can serve again.
+// attemptResult is the result of an attempt or a probe. conn is its connection if it can be reused, or nil.
 type attemptResult struct {
 	status      garnettide.Status
 	load        garnettide.Load
 	body        []byte
-	contentType string // the body's Content-Type
+	contentType string
 	conn        *conn
 }
 
-// dialer opens connections to upstreams and makes attempts on them.
+// upstreamTransport opens connections to upstreams and makes attempts and probes on them.
 type upstreamTransport struct {
 	open          func(network, address string, timeout time.Duration) (net.Conn, error)
 	timeout       time.Duration
 	now           func() time.Duration // the loop's clock
 	memory        *holder
-	onStreamStart func(*attempt, *relay, garnettide.Load) // tells of an answer that passes on
+	onStreamStart func(*attempt, *relay, garnettide.Load) // called when a response begins to be streamed
 }
 
-// connect returns the idle connection if it still stands, or a new one.
+// connect returns the idle connection if it can still be used, or a new one.
 func (t upstreamTransport) connect(idle *conn, address string) (*conn, error) {
 	if idle != nil {
 		if idle.checkIdle() == nil {
 			return idle, nil
 		}
-		idle.Close() // nothing was written on it: another connection serves as well
+		idle.Close()
 	}
 	c, err := t.open("tcp", address, t.timeout)
 	if err != nil {
@@ -202,7 +202,7 @@
 	return &conn{stream: newStream(c, 2<<10)}, nil
 }
 
-// run makes the attempt: at most one write on the wire, whatever happens.
+// run makes an attempt. It writes the request at most once.
 func (t upstreamTransport) run(a *attempt) attemptResult {
 	c, err := t.connect(a.conn, a.address)
 	if err != nil {
@@ -213,13 +213,13 @@
 	if !ok {
 		return attemptResult{status: garnettide.NotSent, conn: c}
 	}
-	// A machine that has gone silent takes bytes until its buffers are full, and then none for ever.
+	// An unresponsive host accepts bytes only until its buffers are full.
 	c.SetWriteDeadline(time.Now().Add(responseTimeout))
-	head, tail := a.message.bytes(responseTimeout) // only now is it known how long the balancer will wait
+	head, tail := a.message.bytes(responseTimeout) // the remaining time is known only once the connection is open
 	err = c.writeMessage(head, tail)
 	if a.stage.Store(attemptWritten); err != nil {
 		c.Close()
-		if errors.Is(err, errPartialWrite) || a.uploadDone != nil { // certain: the last byte never left this process
+		if errors.Is(err, errPartialWrite) || a.uploadDone != nil { // the last byte was not sent
 			return attemptResult{status: garnettide.ConnectFailed}
 		}
 		return attemptResult{status: garnettide.Reset}
@@ -230,17 +230,18 @@
 	result := t.readResponse(a)
 	if a.uploadDone != nil {
 		if a.message.rest.end(); !a.uploadComplete.Load() && result.status == garnettide.Reset {
-			result.status = garnettide.ConnectFailed // its last byte never left this process
+			result.status = garnettide.ConnectFailed // the last byte was not sent
 			if a.uploadAborted.Load() {
-				result.status = garnettide.NotSent // which says nothing of the upstream
+				result.status = garnettide.NotSent // not the upstream's fault
 			}
 		}
 	}
 	return result
 }
 
-// claim takes an attempt for writing. Its connection may have come up late: what held as it was sent has to hold now. It
-// tells how long the answer is waited for; false: nothing is written.
+// claim marks an attempt as being written, and returns the time left for its response. ok is false if it
+// must not be written. The conditions are checked here again because opening the connection may have taken
+// long.
 func (t upstreamTransport) claim(a *attempt) (responseTimeout time.Duration, ok bool) {
 	responseTimeout = a.responseTimeout
 	if writeDeadline := a.writeDeadline.Load(); a.responseDeadline != 0 || writeDeadline != 0 {
@@ -258,13 +259,13 @@
 	if a.req.clientGone.Load() {
 		a.drop()
 	}
-	return responseTimeout, a.stage.CompareAndSwap(attemptWaiting, attemptClaimed) // else dropped: here, or its request ended or its upstream left
+	return responseTimeout, a.stage.CompareAndSwap(attemptWaiting, attemptClaimed)
 }
 
-// errPart says that the other side can't have had a message's last byte.
-var errPartialWrite = errors.New("a part of the message was written")
+// errPartialWrite reports that the peer cannot have received the last byte of a message.
+var errPartialWrite = errors.New("message was not fully written")
 
-// send writes a message, of which the tail may be empty.
+// writeMessage writes a message. tail may be empty.
 func (c *conn) writeMessage(head, tail []byte) error {
 	for i, part := range [][]byte{head, tail} {
 		if len(part) == 0 {
@@ -279,8 +280,9 @@
 	return nil
 }
 
-// upload passes the rest of an open request on. Where that breaks off so does the connection: what was written is no
-// request then, and the upstream must not take it for one.
+// upload streams the rest of the request's body to the upstream. If the client fails to send it, the
+// connection is closed, so that the upstream does not accept a truncated request. afterChunk tells that the
+// data of an open chunk precedes it.
 func (a *attempt) upload(u *upload, afterChunk bool) {
 	defer close(a.uploadDone)
 	u.taken.Store(true)
@@ -288,12 +290,12 @@
 	defer pieces.Put(p)
 	inChunks := u.length < 0
 	if inChunks && afterChunk {
-		io.WriteString(a.conn, "\r\n") // behind what was held; an error shows in the next write
+		io.WriteString(a.conn, "\r\n") // ends the buffered chunk; an error shows in the next write
 	}
 	for {
 		n, err := u.in.Read(p.space())
 		if n > 0 && writeFully(a.conn, p.framed(n, inChunks)) != nil {
-			break // an answer may have come before the upstream closed: the reading shows
+			break // the upstream may have responded early: the reader finds out
 		}
 		if err == io.EOF {
 			if inChunks && writeFully(a.conn, []byte(lastChunk)) != nil {
@@ -302,7 +304,7 @@
 			a.uploadComplete.Store(true)
 			return
 		} else if err != nil {
-			if !errors.Is(err, io.ErrClosedPipe) { // not because the answer has come
+			if !errors.Is(err, io.ErrClosedPipe) { // the body was not cancelled by a response
 				a.uploadAborted.Store(true)
 				a.conn.Close()
 			}
@@ -312,7 +314,7 @@
 	u.end()
 }
 
-// push writes all of b, for as long as the other side takes some of it now and then.
+// writeFully writes all of b. It fails with a time-out once the peer accepts nothing for bodyIdleTimeout.
 func writeFully(c net.Conn, b []byte) error {
 	for {
 		c.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
@@ -324,15 +326,15 @@
 	}
 }
 
-// uploaded tells whether all of the request has been written, once its answer begins. If not the answer is an early
-// one, and the rest is not wanted.
+// uploadFinished reports, when the response begins, whether the whole request has been written. If not, the
+// response is early and the upload is cancelled.
 func (a *attempt) uploadFinished() bool {
 	if a.uploadDone == nil {
 		return true
 	}
 	select {
 	case <-a.uploadDone:
-	case <-time.After(uploadDoneTimeout): // the last write may just be returning
+	case <-time.After(uploadDoneTimeout): // the last write may be about to return
 		a.message.rest.end()
 		a.conn.SetWriteDeadline(time.Unix(0, 1))
 		<-a.uploadDone
@@ -340,8 +342,8 @@
 	return a.uploadComplete.Load()
 }
 
-// take reads an attempt's answer. One that is spoilt has run, and its connection is of no further use. One that does not
-// fit where answers are held passes on from here.
+// readResponse reads the response to an attempt, or streams it if it does not fit the buffers. An attempt
+// with a malformed response counts as executed, and its connection is closed.
 func (t upstreamTransport) readResponse(a *attempt) attemptResult {
 	c := a.conn
 	resp, err := c.reply()
@@ -357,7 +359,7 @@
 	case resp.status == http.StatusOK:
 		result.status, result.contentType = garnettide.OK, resp.header.Get("Content-Type")
 	case (resp.status == http.StatusServiceUnavailable || resp.status == http.StatusGatewayTimeout) &&
-		resp.header.Get("X-Not-Run") == "1": // without that mark it may have run
+		resp.header.Get("X-Not-Run") == "1": // without the header the request may have been executed
 		result.status = garnettide.Rejected
 	}
 	bufferUntil := time.Now().Add(responseBufferTime)
@@ -371,7 +373,7 @@
 	case complete:
 		t.memory.give(body)
 		result.body = body
-	case result.status != garnettide.OK || a.req == nil: // too long to be read to its end for nobody
+	case result.status != garnettide.OK || a.req == nil: // too long for the buffers, and not to be streamed
 		t.memory.give(body)
 		result.status, resp.ends = garnettide.Error, true
 	default:
@@ -383,7 +385,7 @@
 			return attemptResult{status: garnettide.Reset}
 		}
 	}
-	// Bytes behind the answer are a second copy or noise: the next request's answer would be read from them.
+	// Bytes after the response would be read as the response to the next request.
 	if resp.ends || c.in.Buffered() > 0 {
 		c.Close()
 	} else {
@@ -392,7 +394,7 @@
 	return result
 }
 
-// broken tells an answer that can't be read from one that never came.
+// readErrorStatus distinguishes a malformed response from a missing one.
 func readErrorStatus(err error) garnettide.Status {
 	for _, malformed := range []error{errHead, errLong, errFrame, errLarge} {
 		if errors.Is(err, malformed) {
@@ -402,8 +404,8 @@
 	return garnettide.Reset
 }
 
-// loadOf reads a load report: name=value pairs. One that can't be read in full, or stands there more than once, tells
-// nothing: a half of it must not move shares.
+// parseLoad parses a load report of comma-separated name=value pairs. It returns a zero Load unless there
+// is exactly one report and every pair is valid.
 func parseLoad(reports []string) garnettide.Load {
 	var load garnettide.Load
 	if len(reports) != 1 {
@@ -425,7 +427,7 @@
 	return load
 }
 
-// probe asks an upstream for its load, or only whether it runs.
+// probe requests an upstream's load report, or its health if load is not set.
 func (t upstreamTransport) probe(p *probe) (r attemptResult) {
 	c, err := t.connect(p.conn, p.address)
 	if err != nil {
@@ -449,7 +451,7 @@
 	return r
 }
 
-// probe is one probe of an upstream.
+// probe is a load or health probe of an upstream.
 type probe struct {
 	upstream *upstream
 	sentAt   time.Duration
