--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -24,8 +24,8 @@
 	go func() {
 		for {
 			select {
-			case x := <-reloads:
-				l.post(configReloaded{Reload: x})
+			case reload := <-reloads:
+				l.post(configReloaded{Reload: reload})
 			case <-loopCtx.Done():
 				return
 			}
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -121,7 +121,7 @@
 	delete(n.ids, text)
 }
 
-// recentIDs holds the maxRecentIDs IDs that lists have named most recently. Operators' calls for other IDs
+// recentIDs holds the IDs that lists have named, up to maxRecentIDs of them. Operators' calls for other IDs
 // are rejected.
 type recentIDs struct {
 	known map[string]bool
@@ -171,7 +171,7 @@
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
 	ctx          context.Context // ends all calls
 	cancel       context.CancelFunc
-	heldRevision atomic.Pointer[uint64] // latest revision posted; nil: none
+	lastRevision atomic.Pointer[uint64] // latest revision posted, or that of the cached list; nil: none
 	post         func(listUpdate)
 }
 
@@ -213,9 +213,9 @@
 	for ctx.Err() == nil {
 		next := time.After(minWatchInterval)
 		url, timeout := d.url, discoveryCallTimeout
-		if heldRevision := d.heldRevision.Load(); heldRevision != nil {
+		if lastRevision := d.lastRevision.Load(); lastRevision != nil {
 			wait := discoveryWatchTimeout*4/5 + rand.N(discoveryWatchTimeout*2/5)
-			url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", d.url, *heldRevision, wait.Milliseconds())
+			url = fmt.Sprintf("%s?since=%d&timeout_ms=%d", d.url, *lastRevision, wait.Milliseconds())
 			timeout = wait + watchSilenceMargin
 		}
 		list, err := d.call(ctx, url, timeout)
@@ -250,8 +250,8 @@
 
 // recordRevision records a posted revision, unless a newer one is recorded.
 func (d *discoveryClient) recordRevision(revision uint64) {
-	for heldRevision := d.heldRevision.Load(); (heldRevision == nil || revision > *heldRevision) &&
-		!d.heldRevision.CompareAndSwap(heldRevision, &revision); heldRevision = d.heldRevision.Load() {
+	for lastRevision := d.lastRevision.Load(); (lastRevision == nil || revision > *lastRevision) &&
+		!d.lastRevision.CompareAndSwap(lastRevision, &revision); lastRevision = d.lastRevision.Load() {
 	}
 }
 
@@ -287,7 +287,7 @@
 			return list, fmt.Errorf("discovery: %w", err)
 		}
 	}
-	if !list.Complete && d.heldRevision.Load() == nil {
+	if !list.Complete && d.lastRevision.Load() == nil {
 		return list, errors.New("discovery: changes without an earlier complete list")
 	}
 	slices.SortFunc(list.Members, func(a, b member) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -59,8 +59,8 @@
 	done, stopped := ctx.Done(), make(chan struct{})
 	for {
 		select {
-		case x := <-reloads: // also during shutdown, since the address of discovery may change
-			l.post(configReloaded{x, front})
+		case reload := <-reloads: // also during shutdown, since the address of discovery may change
+			l.post(configReloaded{reload, front})
 		case err := <-serveErrs:
 			if done != nil {
 				return err
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -181,7 +181,7 @@
 // upstreamTransport opens connections to upstreams and makes attempts and probes on them.
 type upstreamTransport struct {
 	open          func(network, address string, timeout time.Duration) (net.Conn, error)
-	timeout       time.Duration
+	timeout       time.Duration        // for connecting, and for a probe once it is connected
 	now           func() time.Duration // the loop's clock
 	memory        *holder
 	onStreamStart func(*attempt, *relay, garnettide.Load) // called when a response begins to be streamed
@@ -227,7 +227,7 @@
 	if a.uploadDone != nil {
 		go a.upload(a.message.rest, len(tail) > 0)
 	}
-	result := t.readResponse(a)
+	result := t.receiveResponse(a)
 	if a.uploadDone != nil {
 		if a.message.rest.end(); !a.uploadComplete.Load() && result.status == garnettide.Reset {
 			result.status = garnettide.ConnectFailed // the last byte was not sent
@@ -342,9 +342,9 @@
 	return a.uploadComplete.Load()
 }
 
-// readResponse reads the response to an attempt, or streams it if it does not fit the buffers. An attempt
+// receiveResponse reads the response to an attempt, or streams it if it does not fit the buffers. An attempt
 // with a malformed response counts as executed, and its connection is closed.
-func (t upstreamTransport) readResponse(a *attempt) attemptResult {
+func (t upstreamTransport) receiveResponse(a *attempt) attemptResult {
 	c := a.conn
 	resp, err := c.reply()
 	if err != nil {
@@ -442,7 +442,7 @@
 		c.Close()
 		return attemptResult{status: garnettide.ConnectFailed}
 	}
-	r = t.readResponse(&attempt{conn: c})
+	r = t.receiveResponse(&attempt{conn: c})
 	if p.load && r.status == garnettide.OK {
 		if l := parseLoad([]string{strings.TrimSpace(string(r.body))}); l.Fields != 0 {
 			r.load = l
