--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -39,7 +39,7 @@
 	debug.SetGCPercent(400)
 	memoryLimit := int64(config.MemoryMB) << 20 * 6 / 10
 	debug.SetMemoryLimit(memoryLimit)
-	config.Overlap = func(on bool) { // the old and the new process share the memory limit
+	config.OnOverlap = func(on bool) { // the old and the new process share the memory limit
 		if on {
 			debug.SetMemoryLimit(memoryLimit / 2)
 		} else {
@@ -47,7 +47,7 @@
 		}
 	}
 	name := config.Name // copied, so that config and its plan can be freed
-	slog.Info("starting", "name", name, "listen", config.Listen, "known", len(config.Known.Members), "configuration", config.Hash)
+	slog.Info("starting", "name", name, "listen", config.Listen, "known", len(config.CachedList.Members), "configuration", config.Hash)
 	listener, err := proxy.Listen(&config)
 	if err != nil {
 		return err
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -1,6 +1,6 @@
-// Package proxy is the real balancer round the decision module: clients, upstreams
-// and discovery on TCP sockets. It decides nothing; what is sent where, again or
-// not at all is the module's to say.
+// Package proxy connects the routing decisions of package garnettide to TCP: it serves clients, sends their
+// requests to upstreams and follows discovery. Which upstream receives a request, and whether it is retried
+// or refused, is decided by the Balancer.
 package proxy
 
 import (
@@ -17,36 +17,37 @@
 	"garnettide/internal/wire"
 )
 
-// firstInherited is the first descriptor behind standard input, output and error.
-const firstInherited = 3
+// minInheritedFD is the first descriptor after standard input, output and error.
+const minInheritedFD = 3
 
-// Config is what a balancer is told at its start.
+// Config is the configuration of a balancer at its start.
 type Config struct {
-	Name      string
-	Listen    string // host:port for clients
-	Discovery string // host:port of discovery
-	Operator  string // host:port for operators; empty: no admin listener
-	StateDir  string // where what operators called for is kept
-	Inherited int    // descriptor of the clients' listening socket; 0: this process listens itself
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Known     listing // the upstreams as last held, maybe stale
-	Plan      *garnettide.Plan
-	Links     wire.ConnTimeouts
-	Hash      string // of the file as it was read: the first twelve hex digits of its SHA-256
-	// SettingsInForce, if set, is called on the loop when a configuration that was read again is in force, with its Hash
+	Name         string
+	Listen       string // host:port for clients
+	Discovery    string // host:port of discovery
+	Operator     string // host:port for operators; empty: no admin listener
+	StateDir     string // directory of the state file
+	InheritedFD  int    // descriptor of the clients' listening socket; 0: the process opens its own
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
+	CachedList   discoveryList // last known upstreams, possibly out of date
+	Plan         *garnettide.Plan
+	ConnTimeouts wire.ConnTimeouts
+	Hash         string // first twelve hexadecimal digits of the file's SHA-256
+	// OnConfigApplied, if set, is called on the loop when a reloaded configuration is in force, with its hash
 	// and the time since its signal.
-	SettingsInForce func(hash string, took time.Duration)
-	// Overlap, if set, is called when another process of this balancer begins or ends to live beside this one.
-	Overlap func(on bool)
-	// ListInForce, if set, is called on the loop each time a list of discovery has been applied, with its revision. It must
-	// not wait.
-	ListInForce func(revision uint64)
+	OnConfigApplied func(hash string, took time.Duration)
+	// OnOverlap, if set, is called when another process of this balancer starts or stops running beside this
+	// one.
+	OnOverlap func(on bool)
+	// OnListApplied, if set, is called on the loop after each list from discovery, with its revision. It must
+	// not block.
+	OnListApplied func(revision uint64)
 }
 
-// file is the configuration file's form, but for what is decoded part by part.
-type file struct {
+// configFile is the configuration file without known and settings, which are decoded as streams.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -58,7 +59,7 @@
 	} `json:"limits"`
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names. The other RELAY_ variables go before what it says.
+// LoadConfig reads the file that RELAY_CONFIG names. The other RELAY_ variables override its values.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	text, hash, err := readConfig(getenv, nil)
 	if err != nil {
@@ -67,10 +68,10 @@
 	return parseConfig(getenv, text, hash, nil)
 }
 
-// parseConfig checks a configuration, in slices.
-func parseConfig(getenv func(string) string, text io.Reader, hash string, work *slicer) (Config, error) {
+// parseConfig decodes and checks a configuration, in slices of work.
+func parseConfig(getenv func(string) string, text io.Reader, hash string, slicer *workSlicer) (Config, error) {
 	path := getenv("RELAY_CONFIG")
-	c, err := decodeConfig(text, work, func(f *file) {
+	c, err := decodeConfig(text, slicer, func(f *configFile) {
 		for name, to := range map[string]*string{"RELAY_NAME": &f.Name, "RELAY_LISTEN": &f.Listen,
 			"RELAY_DISCOVERY": &f.Discovery, "RELAY_OPERATOR": &f.Operator} {
 			if v := getenv(name); v != "" {
@@ -86,27 +87,28 @@
 		c.StateDir = os.TempDir()
 	}
 	if fd := getenv("RELAY_INHERITED_FD"); fd != "" {
-		if c.Inherited, err = strconv.Atoi(fd); err != nil || c.Inherited < firstInherited {
-			return Config{}, fmt.Errorf("RELAY_INHERITED_FD: %q is no descriptor of a listening socket", fd)
+		if c.InheritedFD, err = strconv.Atoi(fd); err != nil || c.InheritedFD < minInheritedFD {
+			return Config{}, fmt.Errorf("RELAY_INHERITED_FD: %q is not a valid descriptor of a listening socket", fd)
 		}
 	}
 	return c, nil
 }
 
-// decodeConfig decodes and checks a configuration, with what goes before the file's own words put in by override.
-func decodeConfig(text io.Reader, work *slicer, override func(*file)) (Config, error) {
+// decodeConfig decodes and checks a configuration. override may change the file's values before they are
+// checked.
+func decodeConfig(text io.Reader, slicer *workSlicer, override func(*configFile)) (Config, error) {
 	var c Config
-	var f file
+	var f configFile
 	var settings garnettide.Settings
 	var plan *garnettide.PlanBuilder
-	d := wire.NewDecoder(text, work.step)
+	d := wire.NewDecoder(text, slicer.step)
 	err := d.Object(func(key string) (err error) {
 		switch {
 		case strings.EqualFold(key, "known"):
-			err = decodeKnown(d, &c.Known)
+			err = decodeKnown(d, &c.CachedList)
 		case strings.EqualFold(key, "settings"):
 			plan = garnettide.NewPlanBuilder()
-			settings, c.Links, err = d.Settings(plan.AddClass, plan.AddTenant)
+			settings, c.ConnTimeouts, err = d.Settings(plan.AddClass, plan.AddTenant)
 		default:
 			err = d.Field(key, &f)
 		}
@@ -119,14 +121,14 @@
 		return c, err
 	}
 	override(&f)
-	if err := f.check(&c); err != nil {
+	if err := f.validateInto(&c); err != nil {
 		return c, err
 	}
 	if plan == nil {
 		return c, errors.New("settings are missing")
 	}
-	if c.Links.IdleTimeout <= 0 || c.Links.ConnectTimeout <= 0 {
-		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
+	if c.ConnTimeouts.IdleTimeout <= 0 || c.ConnTimeouts.ConnectTimeout <= 0 {
+		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be greater than zero")
 	}
 	if c.Plan, err = plan.Plan(settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
@@ -134,8 +136,8 @@
 	return c, nil
 }
 
-// decodeKnown decodes and checks the list that was last held.
-func decodeKnown(d *wire.Decoder, known *listing) error {
+// decodeKnown decodes and checks the cached list of upstreams.
+func decodeKnown(d *wire.Decoder, known *discoveryList) error {
 	var head struct {
 		Revision uint64 `json:"revision"`
 		Complete bool   `json:"complete"`
@@ -145,7 +147,7 @@
 			return d.Field(key, &head)
 		}
 		if known.Members != nil {
-			return errors.New("members is there twice")
+			return errors.New("members appears more than once")
 		}
 		known.Members = []member{}
 		return d.Array(func(int) error {
@@ -154,7 +156,7 @@
 				return err
 			}
 			known.Members = append(known.Members, m)
-			return m.check()
+			return m.validate()
 		})
 	})
 	if known.Revision, known.Complete = head.Revision, head.Complete; err != nil {
@@ -163,8 +165,8 @@
 	return nil
 }
 
-// check checks what was read and puts it into c.
-func (f *file) check(c *Config) error {
+// validateInto checks the values and stores them in c.
+func (f *configFile) validateInto(c *Config) error {
 	c.Name, c.Listen, c.Discovery, c.Operator = f.Name, f.Listen, f.Discovery, f.Operator
 	c.MemoryMB, c.Sockets = f.Limits.MemoryMB, f.Limits.Sockets
 	var err error
@@ -183,24 +185,24 @@
 		return fmt.Errorf("seed: %w", err)
 	}
 	if c.MemoryMB < 16 {
-		return fmt.Errorf("limits: memory_mb is %d; at least 16 is needed", c.MemoryMB)
+		return fmt.Errorf("limits: memory_mb is %d, must be at least 16", c.MemoryMB)
 	}
 	if c.Sockets < 64 {
-		return fmt.Errorf("limits: sockets is %d; at least 64 are needed", c.Sockets)
+		return fmt.Errorf("limits: sockets is %d, must be at least 64", c.Sockets)
 	}
 	return nil
 }
 
-// Descriptors: clients hold a third at most for requests, so upstreams need no more. A reserve is for the listener,
-// discovery, the admin listener and what is being closed. The rest is for clients, whose connections are more than
-// their requests.
+// Sockets are divided as follows: a third for upstreams, which is enough because clients use at most a
+// third for requests; a reserve for the listener, discovery and sockets being closed; some for the admin
+// listener; and the rest for clients, which have more connections than requests.
 
-func (c *Config) upstreamConns() int { return c.Sockets / 3 }
-func (c *Config) clientConns() int {
-	return c.Sockets - c.upstreamConns() - max(c.Sockets/16, 16) - c.adminConns()
+func (c *Config) maxUpstreamConns() int { return c.Sockets / 3 }
+func (c *Config) maxClientConns() int {
+	return c.Sockets - c.maxUpstreamConns() - max(c.Sockets/16, 16) - c.adminConns()
 }
 
-// adminConns is what the admin listener may hold: its listener and its calls.
+// adminConns returns the number of sockets for the admin listener and its connections.
 func (c *Config) adminConns() int {
 	if c.Operator == "" {
 		return 0
@@ -208,6 +210,6 @@
 	return 1 + adminConns
 }
 
-// held is how much of bodies may be held at once: a quarter of the memory, beside the program, its connections and what
-// the collector leaves lying.
-func (c *Config) held() int64 { return int64(c.MemoryMB) << 20 / 4 }
+// bodyMemory returns how many bytes of bodies may be buffered at once. The rest of the memory is for the
+// program, its connections and garbage.
+func (c *Config) bodyMemory() int64 { return int64(c.MemoryMB) << 20 / 4 }
--- a/internal/proxy/control.go
+++ b/internal/proxy/control.go
@@ -2,21 +2,21 @@
 
 import "context"
 
-// Control is a balancer's control alone: its loop, its module and its client of discovery, with the reload path and without
-// clients. A scale run holds many of them in one process, to measure what a balancer spends without traffic.
-type Control struct {
-	end  context.CancelFunc
-	done chan struct{} // closed once the loop has ended
+// ControlLoop is a balancer without clients: its loop, Balancer, discovery client and reloads. A scale run
+// starts many of them in one process to measure what a balancer costs without traffic.
+type ControlLoop struct {
+	cancel context.CancelFunc
+	done   chan struct{} // closed when the loop has ended
 }
 
-// StartControl starts control as Run does. It ends with ctx or by Stop. Each configuration from reloads, which a Reloader
-// makes, takes the place of the one before.
-func StartControl(ctx context.Context, c Config, reloads <-chan Reload) *Control {
-	life, end := context.WithCancel(ctx)
-	l := newLoop(life, &c)
+// StartControlLoop starts a ControlLoop, which runs until ctx ends or Stop is called. It applies each
+// configuration from reloads, which a Reloader sends.
+func StartControlLoop(ctx context.Context, c Config, reloads <-chan Reload) *ControlLoop {
+	loopCtx, cancel := context.WithCancel(ctx)
+	l := newLoop(loopCtx, &c)
 	l.start(&c, nil)
-	c.Plan, c.Known = nil, listing{} // others hold what is in force
-	control := &Control{end: end, done: make(chan struct{})}
+	c.Plan, c.CachedList = nil, discoveryList{} // the loop has the current ones
+	control := &ControlLoop{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(control.done)
 		l.run()
@@ -24,9 +24,9 @@
 	go func() {
 		for {
 			select {
-			case x := <-reloads:
-				l.post(reloaded{Reload: x})
-			case <-life.Done():
+			case reload := <-reloads:
+				l.post(configReloaded{Reload: reload})
+			case <-loopCtx.Done():
 				return
 			}
 		}
@@ -34,8 +34,8 @@
 	return control
 }
 
-// Stop ends control and waits until its loop has ended. Calls to discovery that are open break off.
-func (c *Control) Stop() {
-	c.end()
+// Stop ends the loop and waits for its end. Open calls to discovery are cancelled.
+func (c *ControlLoop) Stop() {
+	c.cancel()
 	<-c.done
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -154,8 +154,8 @@
 }
 
 func newFrontend(c *Config, listener net.Listener, l *loop) *frontend {
-	f := &frontend{memory: &l.held, now: l.now, post: l.post, listener: listener,
-		listenerShared: c.Inherited != 0, maxClients: c.clientConns(), clients: map[*client]struct{}{}}
+	f := &frontend{memory: &l.memory, now: l.now, post: l.post, listener: listener,
+		listenerShared: c.InheritedFD != 0, maxClients: c.maxClientConns(), clients: map[*client]struct{}{}}
 	f.plan.Store(c.Plan)
 	return f
 }
@@ -396,9 +396,9 @@
 	}
 	if req.message.rest == nil { // the client may have closed while the request waited to be read
 		c.SetReadDeadline(time.Time{})
-		if err := quiet(c.timed.Conn); err != nil {
+		if err := checkNoInput(c.timed.Conn); err != nil {
 			f.memory.free(req.message.body)
-			if errors.Is(err, errUnasked) {
+			if errors.Is(err, errUnexpectedBytes) {
 				f.refuse(c, errPipelined)
 			}
 			return false
@@ -406,11 +406,11 @@
 	}
 	req.Budget = f.capBudget(req.Budget)
 	w := f.watchClient(c, req)
-	f.post(arrived{req})
+	f.post(requestReceived{req})
 	resp, err := w.awaitResponse()
 	if err != nil { // the client has closed, or its bytes are not a valid request
-		req.gone.Store(true)
-		f.post(left{req})
+		req.clientGone.Store(true)
+		f.post(clientLeft{req})
 		f.refuse(c, err)
 		return false
 	}
@@ -468,7 +468,7 @@
 // invalid body or bytes after the request.
 func (w *clientWatcher) awaitResponse() (clientResponse, error) {
 	select {
-	case resp := <-w.req.reply:
+	case resp := <-w.req.responseCh:
 		// An error in the client's body also ends the attempt. The response to that may arrive first, and
 		// would tell the client that a retry is safe.
 		if clientErr := w.req.message.rest.clientErr(); clientErr != nil && resp.status != http.StatusOK {
@@ -482,7 +482,7 @@
 			return clientResponse{}, err
 		}
 		w.readDone <- err
-		return <-w.req.reply, nil
+		return <-w.req.responseCh, nil
 	}
 }
 
@@ -518,7 +518,7 @@
 		}
 		if err == io.EOF {
 			rest.complete = true
-			f.post(whole{req, f.now(), f.capBudget(req.Budget)})
+			f.post(bodyReceived{req, f.now(), f.capBudget(req.Budget)})
 			rest.writer.Close()
 			return nil
 		} else if err != nil {
@@ -554,7 +554,7 @@
 		}
 	}()
 	err := c.copy(r, contentType, closing)
-	r.end <- err
+	r.done <- err
 	return err
 }
 
@@ -566,15 +566,15 @@
 	if !chunked {
 		framing = fmt.Sprintf("Content-Length: %d\r\n", r.length)
 	}
-	if err := push(c, renderHead(clientResponse{status: http.StatusOK, contentType: contentType}, framing, closing)); err != nil {
+	if err := writeFully(c, renderHead(clientResponse{status: http.StatusOK, contentType: contentType}, framing, closing)); err != nil {
 		return err
 	}
 	p := bodyBuffers.Get().(*bodyBuffer)
 	defer bodyBuffers.Put(p)
-	for buffered := r.held; len(buffered) > 0; {
+	for buffered := r.buffered; len(buffered) > 0; {
 		n := copy(p.data(), buffered)
 		buffered = buffered[n:]
-		if err := push(c, p.framed(n, chunked)); err != nil {
+		if err := writeFully(c, p.framed(n, chunked)); err != nil {
 			return err
 		}
 	}
@@ -582,12 +582,12 @@
 		r.conn.SetReadDeadline(time.Now().Add(bodyIdleTimeout))
 		n, err := r.body.Read(p.data())
 		if n > 0 {
-			if err := push(c, p.framed(n, chunked)); err != nil {
+			if err := writeFully(c, p.framed(n, chunked)); err != nil {
 				return err
 			}
 		}
 		if err == io.EOF && chunked {
-			return push(c, []byte(lastChunk))
+			return writeFully(c, []byte(lastChunk))
 		} else if err == io.EOF {
 			return nil
 		} else if err != nil {
@@ -690,12 +690,12 @@
 func (c *client) writeResponse(resp clientResponse, closing bool) error {
 	b := renderHead(resp, fmt.Sprintf("Content-Length: %d\r\n", len(resp.body)), closing)
 	if len(resp.body) <= bodyBufferSize {
-		return push(c, append(b, resp.body...))
+		return writeFully(c, append(b, resp.body...))
 	}
-	if err := push(c, b); err != nil {
+	if err := writeFully(c, b); err != nil {
 		return err
 	}
-	return push(c, resp.body)
+	return writeFully(c, resp.body)
 }
 
 // singletonHeaders names the header fields that a request may contain only once.
@@ -816,7 +816,7 @@
 	case (class.Idempotency == garnettide.IdempotentByKey) != (key != ""), key == "" && len(h["Idempotency-Key"]) > 0:
 		return nil, badRequest("Idempotency-Key does not fit the class")
 	}
-	req := &request{name: id, reply: make(chan clientResponse, 1)}
+	req := &request{clientRequestID: id, responseCh: make(chan clientResponse, 1)}
 	req.Class, req.ClassSettings, req.Tenant, req.Retry = class.Name, class, h.Get("X-Tenant"), h.Get("X-Retry") == "1"
 	req.Budget = class.Deadline
 	if len(h["X-Deadline-Ms"]) > 0 {
@@ -840,7 +840,7 @@
 	if c, err := (&http.Request{Header: http.Header(h)}).Cookie("obj"); err == nil {
 		req.HasKey = true
 		if req.Key, err = strconv.ParseUint(c.Value, 16, 64); err != nil {
-			req.Key = uint64(hashed(c.Value))
+			req.Key = uint64(hashText(c.Value))
 		}
 	}
 	for _, named := range h["Connection"] { // fields that are meant for this connection only
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -41,7 +41,7 @@
 // Listen returns the listener for clients. If c.Inherited is set, it duplicates that descriptor, which must
 // be a listening TCP socket, and closes the original; otherwise it listens on c.Listen.
 func Listen(c *Config) (net.Listener, error) {
-	if c.Inherited == 0 {
+	if c.InheritedFD == 0 {
 		l, err := net.Listen("tcp", c.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("client listener: %w", err)
@@ -49,11 +49,11 @@
 		return l, nil
 	}
 	// net.FileListener accepts a socket that is not listening; only Accept would fail.
-	if on, err := syscall.GetsockoptInt(c.Inherited, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
-		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is not a listening socket: %w", c.Inherited,
+	if on, err := syscall.GetsockoptInt(c.InheritedFD, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
+		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d is not a listening socket: %w", c.InheritedFD,
 			errorOr(err, syscall.EINVAL))
 	}
-	f := os.NewFile(uintptr(c.Inherited), "inherited listener")
+	f := os.NewFile(uintptr(c.InheritedFD), "inherited listener")
 	defer f.Close() // net.FileListener duplicates the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d listens on %s, not TCP", c.Inherited, l.Addr().Network())
+		return nil, fmt.Errorf("RELAY_INHERITED_FD: descriptor %d listens on %s, not TCP", c.InheritedFD, l.Addr().Network())
 	}
 	return l, nil
 }
@@ -95,7 +95,7 @@
 // openStateFile reads the orders stored by earlier processes. A file that can't be used is logged and does
 // not prevent the start. If other processes may be running, it also locks a slot for this one.
 func openStateFile(c *Config) (*stateFile, error) {
-	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.Inherited != 0}
+	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.InheritedFD != 0}
 	// alone in another process may lock a free slot for a moment, so each slot is tried several times.
 	for try := 0; s.shared && s.processLock == nil && try < 10*maxProcesses; try++ {
 		s.slot = try % maxProcesses
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -130,7 +130,7 @@
 func (s *adminServer) runOnLoop(ctx context.Context, fn func(l *loop)) error {
 	e := adminLoopCall{fn, make(chan struct{})}
 	select {
-	case s.loop.calls <- e:
+	case s.loop.adminCalls <- e:
 	case <-ctx.Done():
 		return fmt.Errorf("the call's turn did not come: %w", ctx.Err())
 	}
@@ -166,8 +166,8 @@
 func (s *adminServer) setOffline(ctx context.Context, id string, offline bool) error {
 	var known bool
 	if err := s.runOnLoop(ctx, func(l *loop) {
-		_, off := l.off[id]
-		known = off || l.ids.known[id]
+		_, off := l.inMaintenance[id]
+		known = off || l.recentIDs.known[id]
 	}); err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 		if err := s.runOnLoop(ctx, func(l *loop) {
 			o := s.state.current.Load()
 			s.front.drain(o.OutOfService)
-			written = l.obey(o.Offline)
+			written = l.applyMaintenance(o.Offline)
 		}); err != nil || written {
 			return err
 		}
@@ -260,12 +260,12 @@
 		processes = overlapProcesses
 	}
 	slog.Info("descriptor and memory limits divided between processes", "processes", processes)
-	s.front.setConnLimit(c.clientConns() / processes)
-	if err := s.runOnLoop(ctx, func(l *loop) { l.limit(c.upstreamConns() / processes) }); err != nil && ctx.Err() == nil {
+	s.front.setConnLimit(c.maxClientConns() / processes)
+	if err := s.runOnLoop(ctx, func(l *loop) { l.setConnLimit(c.maxUpstreamConns() / processes) }); err != nil && ctx.Err() == nil {
 		slog.Error("dividing the descriptor limit failed", "err", err)
 	}
-	if c.Overlap != nil {
-		c.Overlap(on)
+	if c.OnOverlap != nil {
+		c.OnOverlap(on)
 	}
 }
 
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/over_test.go
@@ -26,9 +26,9 @@
 			for range 20 { // a select takes one of two at random
 				rest := &upload{}
 				rest.reader, rest.writer = io.Pipe()
-				w := &clientWatcher{req: &request{reply: make(chan clientResponse, 1), message: message{rest: rest}}, readDone: make(chan error, 1)}
+				w := &clientWatcher{req: &request{responseCh: make(chan clientResponse, 1), message: message{rest: rest}}, readDone: make(chan error, 1)}
 				rest.fail(errRequestTooLarge)
-				w.req.reply <- clientResponse{status: c.status}
+				w.req.responseCh <- clientResponse{status: c.status}
 				if c.told {
 					w.readDone <- errRequestTooLarge
 				}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -5,69 +5,69 @@
 	"net"
 )
 
-// Run serves the clients of listener until ctx ends, and then until all that was taken is answered. Each
-// configuration from reloads, which a Reloader makes, takes the place of the one before.
+// Run serves the clients of listener until ctx ends, and returns when the requests accepted until then have
+// been answered. It applies each configuration from reloads, which a Reloader sends.
 func Run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload) error {
 	return run(ctx, c, listener, reloads, func(*loop) {})
 }
 
-// run is Run; made is told of the loop before it turns.
-func run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload, made func(*loop)) error {
-	life, end := context.WithCancel(context.Background())
-	defer end()
-	operators, err := listenAdmin(c.Operator)
+// run implements Run. onLoop is called with the loop before it starts.
+func run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload, onLoop func(*loop)) error {
+	loopCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	adminListener, err := listenAdmin(c.Operator)
 	if err != nil {
 		return err
 	}
-	l := newLoop(life, &c)
-	made(l)
-	f := newFrontend(&c, listener, l)
-	var b *stateFile
-	var held operatorOrders
-	if operators != nil { // who can be given no orders keeps none
-		if b, err = openStateFile(&c); err != nil {
+	l := newLoop(loopCtx, &c)
+	onLoop(l)
+	front := newFrontend(&c, listener, l)
+	var state *stateFile
+	var savedOrders operatorOrders
+	if adminListener != nil { // without an admin listener there are no orders to keep
+		if state, err = openStateFile(&c); err != nil {
 			return err
 		}
-		defer b.close()
-		held = *b.current.Load()
+		defer state.close()
+		savedOrders = *state.current.Load()
 	}
-	l.start(&c, held.Offline)
-	c.Plan, c.Known = nil, listing{} // others hold what is in force
-	f.drain(held.OutOfService)
+	l.start(&c, savedOrders.Offline)
+	c.Plan, c.CachedList = nil, discoveryList{} // the loop has the current ones
+	front.drain(savedOrders.OutOfService)
 	go l.run()
-	began := make(chan struct{})
-	served := make(chan error, 2)
-	if operators != nil {
-		d := newAdminServer(l, f, b)
-		defer d.stop()
-		go func() { served <- d.serve(operators) }()
-		if b.shared {
-			go d.followOrders(life, &c, began)
+	mayAccept := make(chan struct{})
+	serveErrs := make(chan error, 2)
+	if adminListener != nil {
+		admin := newAdminServer(l, front, state)
+		defer admin.stop()
+		go func() { serveErrs <- admin.serve(adminListener) }()
+		if state.shared {
+			go admin.followOrders(loopCtx, &c, mayAccept)
 		} else {
-			close(began)
+			close(mayAccept)
 		}
 	} else {
-		close(began)
+		close(mayAccept)
 	}
-	go func() { // beside an older process this one takes connections once it is ready
+	go func() { // beside an older process this one accepts connections only once it is ready
 		select {
-		case <-began:
-			served <- f.serve()
+		case <-mayAccept:
+			serveErrs <- front.serve()
 		case <-ctx.Done():
 		}
 	}()
 	done, stopped := ctx.Done(), make(chan struct{})
 	for {
 		select {
-		case x := <-reloads: // also while what was taken is answered: discovery may be moving just then
-			l.post(reloaded{x, f})
-		case err := <-served:
+		case reload := <-reloads: // also during shutdown, since the address of discovery may change
+			l.post(configReloaded{reload, front})
+		case err := <-serveErrs:
 			if done != nil {
 				return err
 			}
 		case <-done:
 			done = nil
-			go func() { f.stop(); close(stopped) }()
+			go func() { front.stop(); close(stopped) }()
 		case <-stopped:
 			return nil
 		}
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -17,49 +17,49 @@
 	"garnettide/internal/wire"
 )
 
-// This file carries out one attempt on one connection. http.Transport is not used
-// for it: it may write a request again by itself when a kept connection breaks,
-// closes the connection of an attempt that is given up, and does not tell whether
+// This file makes one attempt on one connection. http.Transport is not used: it may resend a request when a
+// reused connection breaks, it closes the connection of a cancelled request, and it does not report whether
 // the last byte was written.
 
 const (
-	// holdFor is how long an answer of unknown length is held from its head on: a small one is whole by then, and its
-	// attempt can be made again if it breaks, while the first bytes of a large one are what its client waits for.
-	holdFor = 50 * time.Millisecond
-	// sentWait is how long an answer to an open request waits for the write of the request's last byte to return.
-	sentWait = 20 * time.Millisecond
-	// bodyIdleTimeout is how long a peer may take nothing, or give nothing, of a body that passes on. It is far over what a
-	// slow line takes for a piece.
+	// responseBufferTime is how long a response of unknown length is buffered, from the end of its head. An
+	// attempt whose response is still buffered can be retried if the connection breaks.
+	responseBufferTime = 50 * time.Millisecond
+	// uploadDoneTimeout is how long a response to a streaming request waits for the write of the request's last
+	// byte to return.
+	uploadDoneTimeout = 20 * time.Millisecond
+	// bodyIdleTimeout is how long a peer may make no progress on a streamed body.
 	bodyIdleTimeout = 10 * time.Second
 )
 
-// maxUtil bounds the use that a load report can mean: all cores busy is 1, give or take its noise.
+// maxUtil is the largest CPU utilisation accepted in a load report. All cores busy is 1, and the measure is
+// noisy.
 const maxUtil = 2
 
-// conn is a connection to an upstream. It belongs to one attempt or, idle, to the
-// loop; nobody else touches it.
+// conn is a connection to an upstream. It is owned by one attempt or probe or, while idle, by the loop.
 type conn struct {
 	*httpConn
-	idleAt time.Duration // on the loop's clock
+	idleAt time.Duration // by the loop's clock
 }
 
-// errStale says that a kept connection was closed by the other side while idle.
-var errStale = errors.New("closed while idle")
+// errIdleConnClosed reports that the peer closed an idle connection or sent unexpected bytes on it.
+var errIdleConnClosed = errors.New("idle connection was closed")
 
-// fresh looks, without waiting, whether an idle connection still stands.
-func (c *conn) fresh() error {
-	if quiet(c.Conn) != nil || c.reader.Buffered() > 0 {
-		return errStale // closed, or bytes that nobody asked for
+// checkIdle reports, without blocking, whether an idle connection can still be used.
+func (c *conn) checkIdle() error {
+	if checkNoInput(c.Conn) != nil || c.reader.Buffered() > 0 {
+		return errIdleConnClosed
 	}
 	return nil
 }
 
-// errUnasked says that bytes have come that nobody asked for.
-var errUnasked = errors.New("bytes that nobody asked for")
+// errUnexpectedBytes reports that bytes arrived on a connection on which none are expected.
+var errUnexpectedBytes = errors.New("unexpected bytes on the connection")
 
-// quiet looks, without waiting, what has come on a connection that nobody reads: nothing, which is no error, its end, or
-// bytes, of which it takes the first.
-func quiet(c net.Conn) error {
+// checkNoInput checks, without blocking, a connection that nobody reads. It returns nil if nothing has
+// arrived, errUnexpectedBytes after consuming one byte, io.EOF if the peer closed the connection, or the
+// read error.
+func checkNoInput(c net.Conn) error {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	}
 	switch {
 	case n > 0:
-		return errUnasked
+		return errUnexpectedBytes
 	case errors.Is(readErr, syscall.EAGAIN):
 		return nil
 	case readErr != nil:
@@ -84,194 +84,195 @@
 	return io.EOF
 }
 
-// The stages of an attempt. The loop may drop one that waits for its connection;
-// what has been claimed for writing counts as sent.
+// The stages of an attempt. The loop may drop a waiting attempt. A claimed one counts as sent.
 const (
-	waiting int32 = iota
-	dropped
-	claimed
-	written
+	attemptWaiting int32 = iota
+	attemptDropped
+	attemptClaimed
+	attemptWritten
 )
 
 // attempt is one send of a request to an upstream.
 type attempt struct {
-	req      *request
-	n        int // order of the request's sends, from 0
-	peer     *peer
-	sentAt   time.Duration
-	address  string
-	message  *message
-	wait     time.Duration // for its answer, from its Send on, or from its last byte if that still comes
-	ends     time.Duration // when that is over; 0: its last byte still comes
-	by       atomic.Int64  // it is written before then or not at all, beside other attempts; 0: no such bound
-	stage    atomic.Int32
-	until    atomic.Int64  // reading ends then, Unix ns; 0: the loop has set no limit
-	sent     chan struct{} // closed when the rest of an open request has been written, or will not be
-	whole    atomic.Bool   // and it was written whole
-	cut      atomic.Bool   // it was not, and that was the client's doing
-	conn     *conn         // read by the loop only once the attempt is claimed
-	told     bool          // the loop: the module has had its outcome
-	lingers  bool          // the loop: it is left to its connection for the late answer
-	givenUp  bool          // the loop: its connection has been ended
-	begun    bool          // the loop: its answer passes on
-	neverRan bool          // the loop: it is known never to have run
+	req                *request
+	index              int // index among the request's attempts, from 0
+	upstream           *upstream
+	sentAt             time.Duration // time of Send or, if it arrives later, of the request's last byte
+	address            string
+	message            *message
+	responseTimeout    time.Duration // from Send, or from the request's last byte if that was pending
+	responseDeadline   time.Duration // 0: the request's last byte was pending at Send
+	writeDeadline      atomic.Int64  // loop's clock; latest time for writing, if other attempts may run; 0: none
+	stage              atomic.Int32
+	readDeadline       atomic.Int64  // Unix nanoseconds: end of reading; 0: not set by the loop
+	uploadDone         chan struct{} // closed when the upload has ended; nil: the request is not streaming
+	uploadComplete     atomic.Bool   // the whole body was written
+	uploadAborted      atomic.Bool   // the upload failed because of the client
+	conn               *conn         // the loop reads it only after the attempt is claimed
+	reported           bool          // loop only: the Balancer has the outcome
+	awaitsLateResponse bool          // loop only: kept open for a late response
+	aborted            bool          // loop only: abort was called
+	streamStarted      bool          // loop only: the response is being streamed to the client
+	neverRan           bool          // loop only: the request was not executed
 }
 
-// before bounds the time at which a may be written. Only the loop sets it.
-func (a *attempt) before(at time.Duration) {
-	if by := a.by.Load(); by == 0 || int64(at) < by {
-		a.by.Store(int64(at))
+// writeBefore lowers the deadline for writing the request. Only the loop calls it.
+func (a *attempt) writeBefore(at time.Duration) {
+	if writeDeadline := a.writeDeadline.Load(); writeDeadline == 0 || int64(at) < writeDeadline {
+		a.writeDeadline.Store(int64(at))
 	}
 }
 
-// limit ends the reading of the answer at a time.
-func (a *attempt) limit(until time.Time) {
-	a.until.Store(until.UnixNano())
-	a.conn.SetReadDeadline(until)
+// setReadDeadline ends the reading of the response at a time.
+func (a *attempt) setReadDeadline(readDeadline time.Time) {
+	a.readDeadline.Store(readDeadline.UnixNano())
+	a.conn.SetReadDeadline(readDeadline)
 }
 
-// giveUp ends an attempt that has been claimed, for the upstream at once: its connection is closed by who reads it, and
-// that may be later than another attempt is written.
-func (a *attempt) giveUp() {
+// abort ends a claimed attempt at once from the upstream's point of view. The reading goroutine closes the
+// connection, which may happen after another attempt has been written.
+func (a *attempt) abort() {
 	if half, ok := a.conn.Conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite() // if it fails there is no connection any more
+		half.CloseWrite() // fails only if the connection is already broken
 	}
-	a.limit(time.Unix(0, 1))
+	a.setReadDeadline(time.Unix(0, 1))
 }
 
-// awaits waits for bytes of the answer until a time; false: none came by then.
-func (a *attempt) awaits(until time.Time) bool {
+// waitReadable waits until reading the response would not block. It reports false if that takes longer than
+// readDeadline.
+func (a *attempt) waitReadable(readDeadline time.Time) bool {
 	if a.conn.reader.Buffered() > 0 {
 		return true
 	}
-	a.conn.SetReadDeadline(until)
+	a.conn.SetReadDeadline(readDeadline)
 	_, err := a.conn.reader.Peek(1)
 	a.conn.SetReadDeadline(time.Time{})
-	if at := a.until.Load(); at != 0 { // the loop has set a limit meanwhile
+	if at := a.readDeadline.Load(); at != 0 { // set by the loop in the meantime
 		a.conn.SetReadDeadline(time.Unix(0, at))
 	}
 	timeout := net.Error(nil)
 	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
-// relay is an answer that passes on as it comes. The client's side reads it off the upstream's connection and then says
-// how that ended.
+// relay is a response that is streamed to the client. The frontend reads the body from the upstream's
+// connection and sends the result to done.
 type relay struct {
 	upstreamResponse
-	conn *conn
-	held []byte // its first bytes
-	end  chan error
+	conn     *conn
+	buffered []byte // start of the body, already read
+	done     chan error
 }
 
-// errUnwanted says that nobody waits for an answer any more.
-var errUnwanted = errors.New("nobody waits for the answer")
+// errResponseUnwanted reports that the client no longer waits for a response.
+var errResponseUnwanted = errors.New("response is no longer wanted")
 
-// drop keeps an attempt that has not begun to be written from being sent.
-func (a *attempt) drop() bool { return a.stage.CompareAndSwap(waiting, dropped) }
+// drop prevents a waiting attempt from being written, and reports whether it did.
+func (a *attempt) drop() bool { return a.stage.CompareAndSwap(attemptWaiting, attemptDropped) }
 
-// result is how an attempt ended, with its connection if that can serve again.
-type result struct {
-	status garnettide.Status
-	load   garnettide.Load
-	body   []byte
-	kind   string // the body's Content-Type
-	conn   *conn
+// attemptResult is the result of an attempt or a probe. conn is its connection if it can be reused, or nil.
+type attemptResult struct {
+	status      garnettide.Status
+	load        garnettide.Load
+	body        []byte
+	contentType string
+	conn        *conn
 }
 
-// dialer opens connections to upstreams and makes attempts on them.
-type dialer struct {
-	open    func(network, address string, timeout time.Duration) (net.Conn, error)
-	timeout time.Duration
-	now     func() time.Duration // the loop's clock
-	held    *bodyMemory
-	begin   func(*attempt, *relay, garnettide.Load) // tells of an answer that passes on
+// upstreamTransport opens connections to upstreams and makes attempts and probes on them.
+type upstreamTransport struct {
+	open          func(network, address string, timeout time.Duration) (net.Conn, error)
+	timeout       time.Duration        // for connecting, and for a probe once it is connected
+	now           func() time.Duration // the loop's clock
+	memory        *bodyMemory
+	onStreamStart func(*attempt, *relay, garnettide.Load) // called when a response begins to be streamed
 }
 
-// connect returns the idle connection if it still stands, or a new one.
-func (d dialer) connect(idle *conn, address string) (*conn, error) {
+// connect returns the idle connection if it can still be used, or a new one.
+func (t upstreamTransport) connect(idle *conn, address string) (*conn, error) {
 	if idle != nil {
-		if idle.fresh() == nil {
+		if idle.checkIdle() == nil {
 			return idle, nil
 		}
-		idle.Close() // nothing was written on it: another connection serves as well
+		idle.Close()
 	}
-	c, err := d.open("tcp", address, d.timeout)
+	c, err := t.open("tcp", address, t.timeout)
 	if err != nil {
 		return nil, err
 	}
 	return &conn{httpConn: newHTTPConn(c, 2<<10)}, nil
 }
 
-// run makes the attempt: at most one write on the wire, whatever happens.
-func (d dialer) run(a *attempt) result {
-	c, err := d.connect(a.conn, a.address)
+// run makes an attempt. It writes the request at most once.
+func (t upstreamTransport) run(a *attempt) attemptResult {
+	c, err := t.connect(a.conn, a.address)
 	if err != nil {
-		return result{status: garnettide.ConnectFailed}
+		return attemptResult{status: garnettide.ConnectFailed}
 	}
 	a.conn = c
-	wait, ok := d.claim(a)
+	responseTimeout, ok := t.claim(a)
 	if !ok {
-		return result{status: garnettide.NotSent, conn: c}
+		return attemptResult{status: garnettide.NotSent, conn: c}
 	}
-	// A machine that has gone silent takes bytes until its buffers are full, and then none for ever.
-	c.SetWriteDeadline(time.Now().Add(wait))
-	head, tail := a.message.bytes(wait) // only now is it known how long the balancer will wait
-	err = c.send(head, tail)
-	if a.stage.Store(written); err != nil {
+	// An unresponsive host accepts bytes only until its buffers are full.
+	c.SetWriteDeadline(time.Now().Add(responseTimeout))
+	head, tail := a.message.bytes(responseTimeout) // the remaining time is known only once the connection is open
+	err = c.writeMessage(head, tail)
+	if a.stage.Store(attemptWritten); err != nil {
 		c.Close()
-		if errors.Is(err, errPart) || a.sent != nil { // certain: the last byte never left this process
-			return result{status: garnettide.ConnectFailed}
+		if errors.Is(err, errPartialWrite) || a.uploadDone != nil { // the last byte was not sent
+			return attemptResult{status: garnettide.ConnectFailed}
 		}
-		return result{status: garnettide.Reset}
+		return attemptResult{status: garnettide.Reset}
 	}
-	if a.sent != nil {
+	if a.uploadDone != nil {
 		go a.upload(a.message.rest, len(tail) > 0)
 	}
-	r := d.take(a)
-	if a.sent != nil {
-		if a.message.rest.cancel(); !a.whole.Load() && r.status == garnettide.Reset {
-			r.status = garnettide.ConnectFailed // its last byte never left this process
-			if a.cut.Load() {
-				r.status = garnettide.NotSent // which says nothing of the upstream
+	result := t.receiveResponse(a)
+	if a.uploadDone != nil {
+		if a.message.rest.cancel(); !a.uploadComplete.Load() && result.status == garnettide.Reset {
+			result.status = garnettide.ConnectFailed // the last byte was not sent
+			if a.uploadAborted.Load() {
+				result.status = garnettide.NotSent // not the upstream's fault
 			}
 		}
 	}
-	return r
+	return result
 }
 
-// claim takes an attempt for writing. Its connection may have come up late: what held as it was sent has to hold now. It
-// tells how long the answer is waited for; false: nothing is written.
-func (d dialer) claim(a *attempt) (wait time.Duration, ok bool) {
-	wait = a.wait
-	if by := a.by.Load(); a.ends != 0 || by != 0 {
-		now := d.now()
-		if a.ends != 0 {
-			wait = a.ends - now
+// claim marks an attempt as being written, and returns the time left for its response. ok is false if it
+// must not be written. The conditions are checked here again because opening the connection may have taken
+// long.
+func (t upstreamTransport) claim(a *attempt) (responseTimeout time.Duration, ok bool) {
+	responseTimeout = a.responseTimeout
+	if writeDeadline := a.writeDeadline.Load(); a.responseDeadline != 0 || writeDeadline != 0 {
+		now := t.now()
+		if a.responseDeadline != 0 {
+			responseTimeout = a.responseDeadline - now
 		}
-		if wait <= 0 || (by != 0 && int64(now) >= by) {
+		if responseTimeout <= 0 || (writeDeadline != 0 && int64(now) >= writeDeadline) {
 			a.drop()
 		}
 	}
 	if rest := a.message.rest; rest != nil && rest.clientClosed() {
-		a.req.gone.Store(true)
+		a.req.clientGone.Store(true)
 	}
-	if a.req.gone.Load() {
+	if a.req.clientGone.Load() {
 		a.drop()
 	}
-	return wait, a.stage.CompareAndSwap(waiting, claimed) // else dropped: here, or its request ended or its upstream left
+	return responseTimeout, a.stage.CompareAndSwap(attemptWaiting, attemptClaimed)
 }
 
-// errPart says that the other side can't have had a message's last byte.
-var errPart = errors.New("a part of the message was written")
+// errPartialWrite reports that the peer cannot have received the last byte of a message.
+var errPartialWrite = errors.New("message was not fully written")
 
-// send writes a message, of which the tail may be empty.
-func (c *conn) send(head, tail []byte) error {
+// writeMessage writes a message. tail may be empty.
+func (c *conn) writeMessage(head, tail []byte) error {
 	for i, part := range [][]byte{head, tail} {
 		if len(part) == 0 {
 			continue
 		}
 		if n, err := c.Write(part); err != nil && (n < len(part) || (i == 0 && len(tail) > 0)) {
-			return fmt.Errorf("%w: %w", errPart, err)
+			return fmt.Errorf("%w: %w", errPartialWrite, err)
 		} else if err != nil {
 			return err
 		}
@@ -279,31 +280,32 @@
 	return nil
 }
 
-// upload passes the rest of an open request on. Where that breaks off so does the connection: what was written is no
-// request then, and the upstream must not take it for one.
-func (a *attempt) upload(u *upload, behind bool) {
-	defer close(a.sent)
+// upload streams the rest of the request's body to the upstream. If the client fails to send it, the
+// connection is closed, so that the upstream does not accept a truncated request. afterChunk tells that the
+// data of an open chunk precedes it.
+func (a *attempt) upload(u *upload, afterChunk bool) {
+	defer close(a.uploadDone)
 	u.started.Store(true)
 	p := bodyBuffers.Get().(*bodyBuffer)
 	defer bodyBuffers.Put(p)
 	inChunks := u.length < 0
-	if inChunks && behind {
-		io.WriteString(a.conn, "\r\n") // behind what was held; an error shows in the next write
+	if inChunks && afterChunk {
+		io.WriteString(a.conn, "\r\n") // ends the buffered chunk; an error shows in the next write
 	}
 	for {
 		n, err := u.reader.Read(p.data())
-		if n > 0 && push(a.conn, p.framed(n, inChunks)) != nil {
-			break // an answer may have come before the upstream closed: the reading shows
+		if n > 0 && writeFully(a.conn, p.framed(n, inChunks)) != nil {
+			break // the upstream may have responded early: the reader finds out
 		}
 		if err == io.EOF {
-			if inChunks && push(a.conn, []byte(lastChunk)) != nil {
+			if inChunks && writeFully(a.conn, []byte(lastChunk)) != nil {
 				break
 			}
-			a.whole.Store(true)
+			a.uploadComplete.Store(true)
 			return
 		} else if err != nil {
-			if !errors.Is(err, io.ErrClosedPipe) { // not because the answer has come
-				a.cut.Store(true)
+			if !errors.Is(err, io.ErrClosedPipe) { // the body was not cancelled by a response
+				a.uploadAborted.Store(true)
 				a.conn.Close()
 			}
 			break
@@ -312,8 +314,8 @@
 	u.cancel()
 }
 
-// push writes all of b, for as long as the other side takes some of it now and then.
-func push(c net.Conn, b []byte) error {
+// writeFully writes all of b. It fails with a time-out once the peer accepts nothing for bodyIdleTimeout.
+func writeFully(c net.Conn, b []byte) error {
 	for {
 		c.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
 		n, err := c.Write(b)
@@ -324,136 +326,136 @@
 	}
 }
 
-// uploaded tells whether all of the request has been written, once its answer begins. If not the answer is an early
-// one, and the rest is not wanted.
-func (a *attempt) uploaded() bool {
-	if a.sent == nil {
+// uploadFinished reports, when the response begins, whether the whole request has been written. If not, the
+// response is early and the upload is cancelled.
+func (a *attempt) uploadFinished() bool {
+	if a.uploadDone == nil {
 		return true
 	}
 	select {
-	case <-a.sent:
-	case <-time.After(sentWait): // the last write may just be returning
+	case <-a.uploadDone:
+	case <-time.After(uploadDoneTimeout): // the last write may be about to return
 		a.message.rest.cancel()
 		a.conn.SetWriteDeadline(time.Unix(0, 1))
-		<-a.sent
+		<-a.uploadDone
 	}
-	return a.whole.Load()
+	return a.uploadComplete.Load()
 }
 
-// take reads an attempt's answer. One that is spoilt has run, and its connection is of no further use. One that does not
-// fit where answers are held passes on from here.
-func (d dialer) take(a *attempt) result {
+// receiveResponse reads the response to an attempt, or streams it if it does not fit the buffers. An attempt
+// with a malformed response counts as executed, and its connection is closed.
+func (t upstreamTransport) receiveResponse(a *attempt) attemptResult {
 	c := a.conn
-	m, err := c.readResponse()
+	resp, err := c.readResponse()
 	if err != nil {
 		c.Close()
-		return result{status: broken(err)}
+		return attemptResult{status: readErrorStatus(err)}
 	}
-	if !a.uploaded() {
-		m.closeAfter = true
+	if !a.uploadFinished() {
+		resp.closeAfter = true
 	}
-	r := result{status: garnettide.Error, load: loadOf(m.header["X-Load"])}
+	result := attemptResult{status: garnettide.Error, load: parseLoad(resp.header["X-Load"])}
 	switch {
-	case m.status == http.StatusOK:
-		r.status, r.kind = garnettide.OK, m.header.Get("Content-Type")
-	case (m.status == http.StatusServiceUnavailable || m.status == http.StatusGatewayTimeout) &&
-		m.header.Get("X-Not-Run") == "1": // without that mark it may have run
-		r.status = garnettide.Rejected
-	}
-	begins := time.Now().Add(holdFor)
-	body, whole, err := d.held.collect(m.body, func() bool {
-		return m.length >= 0 && m.length <= maxBufferedBody || m.length < 0 && a.awaits(begins)
+	case resp.status == http.StatusOK:
+		result.status, result.contentType = garnettide.OK, resp.header.Get("Content-Type")
+	case (resp.status == http.StatusServiceUnavailable || resp.status == http.StatusGatewayTimeout) &&
+		resp.header.Get("X-Not-Run") == "1": // without the header the request may have been executed
+		result.status = garnettide.Rejected
+	}
+	bufferUntil := time.Now().Add(responseBufferTime)
+	body, complete, err := t.memory.collect(resp.body, func() bool {
+		return resp.length >= 0 && resp.length <= maxBufferedBody || resp.length < 0 && a.waitReadable(bufferUntil)
 	})
 	switch {
 	case err != nil:
 		c.Close()
-		return result{status: broken(err)}
-	case whole:
-		d.held.free(body)
-		r.body = body
-	case r.status != garnettide.OK || a.req == nil: // too long to be read to its end for nobody
-		d.held.free(body)
-		r.status, m.closeAfter = garnettide.Error, true
+		return attemptResult{status: readErrorStatus(err)}
+	case complete:
+		t.memory.free(body)
+		result.body = body
+	case result.status != garnettide.OK || a.req == nil: // too long for the buffers, and not to be streamed
+		t.memory.free(body)
+		result.status, resp.closeAfter = garnettide.Error, true
 	default:
-		rl := &relay{upstreamResponse: m, conn: c, held: body, end: make(chan error, 1)}
-		d.begin(a, rl, r.load)
-		err := <-rl.end
-		if d.held.free(body); err != nil {
+		stream := &relay{upstreamResponse: resp, conn: c, buffered: body, done: make(chan error, 1)}
+		t.onStreamStart(a, stream, result.load)
+		err := <-stream.done
+		if t.memory.free(body); err != nil {
 			c.Close()
-			return result{status: garnettide.Reset}
+			return attemptResult{status: garnettide.Reset}
 		}
 	}
-	// Bytes behind the answer are a second copy or noise: the next request's answer would be read from them.
-	if m.closeAfter || c.reader.Buffered() > 0 {
+	// Bytes after the response would be read as the response to the next request.
+	if resp.closeAfter || c.reader.Buffered() > 0 {
 		c.Close()
 	} else {
-		r.conn = c
+		result.conn = c
 	}
-	return r
+	return result
 }
 
-// broken tells an answer that can't be read from one that never came.
-func broken(err error) garnettide.Status {
-	for _, spoilt := range []error{errMalformedHead, errHeadTooLong, errAmbiguousFraming, errResponseTooLarge} {
-		if errors.Is(err, spoilt) {
+// readErrorStatus distinguishes a malformed response from a missing one.
+func readErrorStatus(err error) garnettide.Status {
+	for _, malformed := range []error{errMalformedHead, errHeadTooLong, errAmbiguousFraming, errResponseTooLarge} {
+		if errors.Is(err, malformed) {
 			return garnettide.Error
 		}
 	}
 	return garnettide.Reset
 }
 
-// loadOf reads a load report: name=value pairs. One that can't be read in full, or stands there more than once, tells
-// nothing: a half of it must not move shares.
-func loadOf(reports []string) garnettide.Load {
-	var l garnettide.Load
+// parseLoad parses a load report of comma-separated name=value pairs. It returns a zero Load unless there
+// is exactly one report and every pair is valid.
+func parseLoad(reports []string) garnettide.Load {
+	var load garnettide.Load
 	if len(reports) != 1 {
-		return l
+		return load
 	}
-	named := map[string]bool{}
-	for part := range strings.SplitSeq(reports[0], ",") {
-		name, v, _ := strings.Cut(strings.TrimSpace(part), "=")
-		x, err := strconv.ParseFloat(v, 64)
-		if err != nil || name == "" || named[name] || !(x >= 0 && x <= math.MaxInt32) {
+	seen := map[string]bool{}
+	for pair := range strings.SplitSeq(reports[0], ",") {
+		name, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || name == "" || seen[name] || !(value >= 0 && value <= math.MaxInt32) {
 			return garnettide.Load{}
 		}
-		named[name] = true
-		wire.SetLoadValue(&l, name, x)
+		seen[name] = true
+		wire.SetLoadValue(&load, name, value)
 	}
-	if l.Util > maxUtil {
+	if load.Util > maxUtil {
 		return garnettide.Load{}
 	}
-	return l
+	return load
 }
 
-// probe asks an upstream for its load, or only whether it runs.
-func (d dialer) probe(p *probe) (r result) {
-	c, err := d.connect(p.conn, p.address)
+// probe requests an upstream's load report, or its health if load is not set.
+func (t upstreamTransport) probe(p *probe) (r attemptResult) {
+	c, err := t.connect(p.conn, p.address)
 	if err != nil {
-		return result{status: garnettide.ConnectFailed}
+		return attemptResult{status: garnettide.ConnectFailed}
 	}
 	path := "/healthz"
 	if p.load {
 		path = "/load"
 	}
-	c.SetDeadline(time.Now().Add(d.timeout))
+	c.SetDeadline(time.Now().Add(t.timeout))
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+p.address+"\r\n\r\n"); err != nil {
 		c.Close()
-		return result{status: garnettide.ConnectFailed}
+		return attemptResult{status: garnettide.ConnectFailed}
 	}
-	r = d.take(&attempt{conn: c})
+	r = t.receiveResponse(&attempt{conn: c})
 	if p.load && r.status == garnettide.OK {
-		if l := loadOf([]string{strings.TrimSpace(string(r.body))}); l.Fields != 0 {
+		if l := parseLoad([]string{strings.TrimSpace(string(r.body))}); l.Fields != 0 {
 			r.load = l
 		}
 	}
 	return r
 }
 
-// probe is one probe of an upstream.
+// probe is a load or health probe of an upstream.
 type probe struct {
-	peer    *peer
-	sentAt  time.Duration
-	address string
-	load    bool
-	conn    *conn
+	upstream *upstream
+	sentAt   time.Duration
+	address  string
+	load     bool
+	conn     *conn
 }
