--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("scenes: %+v", r.Scenes)
 	}
 	p := r.Scenes[0].Phases[1]
-	if p.Clients.Statuses["200"] == 0 || p.Spent.HollowCPU == 0 || p.Spent.RealRSS == 0 || r.MemoryMB == 0 {
+	if p.Clients.Statuses["200"] == 0 || p.ResourceUse.HollowCPU == 0 || p.ResourceUse.RealRSS == 0 || r.MemoryMB == 0 {
 		t.Errorf("a figure is missing: %+v", p)
 	}
 	if !strings.Contains(string(out), "scene settings: 2 hollow and 1 real balancers, 14 upstreams") {
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -24,16 +24,16 @@
 )
 
 const (
-	childrenMost = 300
+	maxChildren = 300
 	// memoryMost is what all processes of a run may hold together, bytes: half of a machine of 24 GB.
-	memoryMost  = 12 << 30
-	memoryEvery = time.Second
-	callMost    = 2 * time.Minute // that a child may take over a call
-	endMost     = 10 * time.Second
+	maxRunMemoryBytes   = 12 << 30
+	memoryCheckInterval = time.Second
+	childCallTimeout    = 2 * time.Minute // that a child may take over a call
+	childStopTimeout    = 10 * time.Second
 )
 
 // stdio is a child's side of the calls.
-type stdio struct {
+type stdioConn struct {
 	io.ReadCloser
 	io.Writer
 }
@@ -57,46 +57,46 @@
 	if err != nil {
 		return err
 	}
-	s.ServeCodec(jsonrpc.NewServerCodec(stdio{os.Stdin, os.Stdout}))
+	s.ServeCodec(jsonrpc.NewServerCodec(stdioConn{os.Stdin, os.Stdout}))
 	return nil
 }
 
 // child is a process that the run has started.
 type child struct {
-	name  string
-	cmd   *exec.Cmd
-	calls *rpc.Client // nil: it takes none
-	ended chan struct{}
-	err   error // of its end, once ended is closed
+	name      string
+	cmd       *exec.Cmd
+	rpcClient *rpc.Client // nil: it takes none
+	exited    chan struct{}
+	err       error // of its end, once ended is closed
 }
 
 // call calls a method of a child and waits for the reply.
 func (c *child) call(method string, args, reply any) error {
 	select {
-	case done := <-c.calls.Go(method, args, reply, make(chan *rpc.Call, 1)).Done:
+	case done := <-c.rpcClient.Go(method, args, reply, make(chan *rpc.Call, 1)).Done:
 		if done.Error != nil {
 			return fmt.Errorf("%s: %s: %w", c.name, method, done.Error)
 		}
 		return nil
-	case <-c.ended:
+	case <-c.exited:
 		return fmt.Errorf("%s: %s: the process has ended: %v", c.name, method, c.err)
-	case <-time.After(callMost):
-		return fmt.Errorf("%s: %s: no reply in %v", c.name, method, callMost)
+	case <-time.After(childCallTimeout):
+		return fmt.Errorf("%s: %s: no reply in %v", c.name, method, childCallTimeout)
 	}
 }
 
 // children are the processes of a run.
-type children struct {
+type processGroup struct {
 	dir string // for their logs
 
-	mu   sync.Mutex
-	all  []*child
-	logs int
-	peak int64 // memory of all together, bytes
+	mu              sync.Mutex
+	children        []*child
+	logCount        int
+	peakMemoryBytes int64 // memory of all together, bytes
 }
 
 // role starts this program in a role.
-func (k *children) role(role, name string) (*child, error) {
+func (p *processGroup) startRole(role, name string) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
@@ -110,11 +110,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
-	c, err := k.start(name, cmd)
+	c, err := p.start(name, cmd)
 	if err != nil {
 		return nil, err
 	}
-	c.calls = jsonrpc.NewClient(struct {
+	c.rpcClient = jsonrpc.NewClient(struct {
 		io.Reader
 		io.WriteCloser
 	}{out, in})
@@ -122,104 +122,104 @@
 }
 
 // start starts a process. Its standard error goes into a file of its own, unless it is set already.
-func (k *children) start(name string, cmd *exec.Cmd) (*child, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.all) >= childrenMost {
-		return nil, fmt.Errorf("starting %s: %d processes are the most", name, childrenMost)
+func (p *processGroup) start(name string, cmd *exec.Cmd) (*child, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.children) >= maxChildren {
+		return nil, fmt.Errorf("starting %s: %d processes are the most", name, maxChildren)
 	}
-	var log *os.File
+	var logFile *os.File
 	if cmd.Stderr == nil {
 		var err error
-		k.logs++
-		if log, err = os.Create(filepath.Join(k.dir, fmt.Sprintf("%s-%d.log", name, k.logs))); err != nil {
+		p.logCount++
+		if logFile, err = os.Create(filepath.Join(p.dir, fmt.Sprintf("%s-%d.log", name, p.logCount))); err != nil {
 			return nil, fmt.Errorf("starting %s: %w", name, err)
 		}
-		defer log.Close()
-		cmd.Stderr = log
+		defer logFile.Close()
+		cmd.Stderr = logFile
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the run
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
-	c := &child{name: name, cmd: cmd, ended: make(chan struct{})}
-	k.all = append(k.all, c)
+	c := &child{name: name, cmd: cmd, exited: make(chan struct{})}
+	p.children = append(p.children, c)
 	go func() {
 		c.err = cmd.Wait()
-		close(c.ended)
+		close(c.exited)
 	}()
 	return c, nil
 }
 
 // end ends a process: its input is closed, or it gets SIGTERM; SIGKILL if that does not do.
-func (k *children) end(c *child) {
-	if c.calls != nil {
-		c.calls.Close()
+func (p *processGroup) stop(c *child) {
+	if c.rpcClient != nil {
+		c.rpcClient.Close()
 	} else {
 		c.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	select {
-	case <-c.ended:
-	case <-time.After(endMost):
+	case <-c.exited:
+	case <-time.After(childStopTimeout):
 		c.cmd.Process.Kill()
-		<-c.ended
+		<-c.exited
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for i, x := range k.all {
-		if x == c {
-			k.all = append(k.all[:i], k.all[i+1:]...)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, other := range p.children {
+		if other == c {
+			p.children = append(p.children[:i], p.children[i+1:]...)
 			return
 		}
 	}
 }
 
 // endAll ends all processes.
-func (k *children) endAll() {
-	k.mu.Lock()
-	all := append([]*child(nil), k.all...)
-	k.mu.Unlock()
-	var wait sync.WaitGroup
-	for _, c := range all {
-		wait.Go(func() { k.end(c) })
-	}
-	wait.Wait()
+func (p *processGroup) stopAll() {
+	p.mu.Lock()
+	children := append([]*child(nil), p.children...)
+	p.mu.Unlock()
+	var wg sync.WaitGroup
+	for _, c := range children {
+		wg.Go(func() { p.stop(c) })
+	}
+	wg.Wait()
 }
 
 // memory is what all processes of the run hold, this one included. Pages that they share count for each.
-func (k *children) memory() int64 {
-	k.mu.Lock()
+func (p *processGroup) memoryBytes() int64 {
+	p.mu.Lock()
 	pids := []int{os.Getpid()}
-	for _, c := range k.all {
+	for _, c := range p.children {
 		pids = append(pids, c.cmd.Process.Pid)
 	}
-	k.mu.Unlock()
+	p.mu.Unlock()
 	var sum int64
 	for _, pid := range pids {
 		if u, err := processUsage(pid); err == nil { // one that has just ended holds none
 			sum += u.RSS
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.peak = max(k.peak, sum)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.peakMemoryBytes = max(p.peakMemoryBytes, sum)
 	return sum
 }
 
-var errMemory = errors.New("the run holds more memory than it may")
+var errMemoryLimit = errors.New("the run holds more memory than it may")
 
 // watch looks after the memory until stop is closed. Over the bound it calls over, once.
-func (k *children) watch(stop <-chan struct{}, over func(error)) {
-	tick := time.NewTicker(memoryEvery)
-	defer tick.Stop()
+func (p *processGroup) watchMemory(stop <-chan struct{}, onExceeded func(error)) {
+	ticker := time.NewTicker(memoryCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if sum := k.memory(); sum > memoryMost {
-			over(fmt.Errorf("%w: %d MB of %d", errMemory, sum>>20, memoryMost>>20))
+		if sum := p.memoryBytes(); sum > maxRunMemoryBytes {
+			onExceeded(fmt.Errorf("%w: %d MB of %d", errMemoryLimit, sum>>20, maxRunMemoryBytes>>20))
 			return
 		}
 	}
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -17,10 +17,10 @@
 // connections. Its processor time is its process's, so it stands for discovery's own only in a process of its own.
 
 const (
-	machinesMost = 4
+	maxMachines = 4
 	// turnPatience is how long a call may wait for its turn. Then it fails, as the real service's do.
-	turnPatience = 2 * time.Second
-	waitMost     = 60 * time.Second // that a watch may ask for
+	maxQueueDelay   = 2 * time.Second
+	maxWatchTimeout = 60 * time.Second // that a watch may ask for
 )
 
 // Mode is what a machine does with calls.
@@ -41,59 +41,59 @@
 
 // Counts are what a discovery was asked and told since its start, over all machines.
 type Counts struct {
-	Calls    int64 `json:"calls"`    // answered or failed
-	Watches  int64 `json:"watches"`  // of these, with a since
-	News     int64 `json:"news"`     // watches that were answered with something newer
-	Whole    int64 `json:"whole"`    // whole lists written
-	Failed   int64 `json:"failed"`   // refused for their turn, or cut by a machine that went
-	Entries  int64 `json:"entries"`  // written
-	Body     int64 `json:"body"`     // bytes of answers that hold entries, without heads
-	BytesIn  int64 `json:"bytes_in"` // on the connections
-	BytesOut int64 `json:"bytes_out"`
-	Waiting  int64 `json:"waiting"` // watches that wait now
+	Calls     int64 `json:"calls"`    // answered or failed
+	Watches   int64 `json:"watches"`  // of these, with a since
+	Updates   int64 `json:"news"`     // watches that were answered with something newer
+	FullLists int64 `json:"whole"`    // whole lists written
+	Failed    int64 `json:"failed"`   // refused for their turn, or cut by a machine that went
+	Entries   int64 `json:"entries"`  // written
+	BodyBytes int64 `json:"body"`     // bytes of answers that hold entries, without heads
+	BytesIn   int64 `json:"bytes_in"` // on the connections
+	BytesOut  int64 `json:"bytes_out"`
+	Waiting   int64 `json:"waiting"` // watches that wait now
 }
 
 // sub is what came since an earlier reading.
 func (c Counts) sub(b Counts) Counts {
-	return Counts{c.Calls - b.Calls, c.Watches - b.Watches, c.News - b.News, c.Whole - b.Whole, c.Failed - b.Failed,
-		c.Entries - b.Entries, c.Body - b.Body, c.BytesIn - b.BytesIn, c.BytesOut - b.BytesOut, c.Waiting}
+	return Counts{c.Calls - b.Calls, c.Watches - b.Watches, c.Updates - b.Updates, c.FullLists - b.FullLists, c.Failed - b.Failed,
+		c.Entries - b.Entries, c.BodyBytes - b.BodyBytes, c.BytesIn - b.BytesIn, c.BytesOut - b.BytesOut, c.Waiting}
 }
 
 // counters are Counts as they are counted.
-type counters struct {
-	calls, watches, news, whole, failed, entries, body, in, out, waiting atomic.Int64
+type discoveryCounters struct {
+	calls, watches, updates, fullList, failed, entries, body, bytesIn, bytesOut, waiting atomic.Int64
 }
 
-func (c *counters) read() Counts {
-	return Counts{c.calls.Load(), c.watches.Load(), c.news.Load(), c.whole.Load(), c.failed.Load(), c.entries.Load(), c.body.Load(),
-		c.in.Load(), c.out.Load(), c.waiting.Load()}
+func (c *discoveryCounters) snapshot() Counts {
+	return Counts{c.calls.Load(), c.watches.Load(), c.updates.Load(), c.fullList.Load(), c.failed.Load(), c.entries.Load(), c.body.Load(),
+		c.bytesIn.Load(), c.bytesOut.Load(), c.waiting.Load()}
 }
 
 // machine is one of discovery's addresses.
 type machine struct {
 	list    *list
-	counts  *counters
+	counts  *discoveryCounters
 	address string
 
-	mu     sync.Mutex
-	mode   Mode
-	costs  Costs
-	free   time.Time // the turns taken so far are over by then
-	server *http.Server
-	life   context.Context // ends when the mode changes
-	end    context.CancelFunc
+	mu         sync.Mutex
+	mode       Mode
+	costs      Costs
+	busyUntil  time.Time // the turns taken so far are over by then
+	server     *http.Server
+	modeCtx    context.Context // ends when the mode changes
+	cancelMode context.CancelFunc
 
 	waiting atomic.Int64 // watches that wait here
 }
 
 // newMachine is up at address; port 0 takes any.
-func newMachine(l *list, n *counters, address string, costs Costs) (*machine, error) {
-	m := &machine{list: l, counts: n, address: address, costs: costs, mode: ModeDown}
-	return m, m.set(ModeUp)
+func newMachine(l *list, c *discoveryCounters, address string, costs Costs) (*machine, error) {
+	m := &machine{list: l, counts: c, address: address, costs: costs, mode: ModeDown}
+	return m, m.setMode(ModeUp)
 }
 
 // set changes what the machine does.
-func (m *machine) set(mode Mode) error {
+func (m *machine) setMode(mode Mode) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if mode == m.mode {
@@ -105,12 +105,12 @@
 		return fmt.Errorf("mode %q is unknown", mode)
 	}
 	if m.mode != ModeUp || mode != ModeSilent { // calls that wait when it falls silent stay, and hear nothing
-		if m.end != nil {
-			m.end()
+		if m.cancelMode != nil {
+			m.cancelMode()
 		}
-		m.life, m.end = context.WithCancel(context.Background())
+		m.modeCtx, m.cancelMode = context.WithCancel(context.Background())
 	}
-	m.mode, m.free = mode, time.Time{}
+	m.mode, m.busyUntil = mode, time.Time{}
 	if mode == ModeDown {
 		m.server.Close()
 		m.server = nil
@@ -125,27 +125,27 @@
 	}
 	m.address = l.Addr().String()
 	m.server = &http.Server{Handler: m}
-	go m.server.Serve(&countedListener{l, m.counts})
+	go m.server.Serve(&countingListener{l, m.counts})
 	return nil
 }
 
 // turn takes a call's place in the row and returns when it ends; false: that is too late.
-func (m *machine) turn(a *answer) (until time.Time, ok bool) {
+func (m *machine) reserveTurn(a *listResponse) (until time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
-	if m.free.Before(now) {
-		m.free = now
+	if m.busyUntil.Before(now) {
+		m.busyUntil = now
 	}
-	if m.free.Sub(now) > turnPatience {
+	if m.busyUntil.Sub(now) > maxQueueDelay {
 		return now, false
 	}
-	m.free = m.free.Add(m.costs.Call + time.Duration(a.entries)*m.costs.Entry)
-	return m.free, true
+	m.busyUntil = m.busyUntil.Add(m.costs.Call + time.Duration(a.entries)*m.costs.Entry)
+	return m.busyUntil, true
 }
 
 // silent tells whether the machine says nothing.
-func (m *machine) silent() bool {
+func (m *machine) isSilent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.mode == ModeSilent
@@ -154,22 +154,22 @@
 // ServeHTTP answers a call of the list.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
-	life := m.life
+	modeCtx := m.modeCtx
 	m.mu.Unlock()
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	defer context.AfterFunc(life, cancel)()
+	defer context.AfterFunc(modeCtx, cancel)()
 	defer m.counts.calls.Add(1)
-	a, err := m.ask(ctx, r)
-	if m.silent() {
+	a, err := m.prepareResponse(ctx, r)
+	if m.isSilent() {
 		<-ctx.Done()
-		err = errCut
+		err = errCallAborted
 	}
 	switch {
-	case errors.Is(err, errCut):
+	case errors.Is(err, errCallAborted):
 		m.counts.failed.Add(1)
 		panic(http.ErrAbortHandler) // the connection is reset
-	case errors.Is(err, errTurn):
+	case errors.Is(err, errQueueTooLong):
 		m.counts.failed.Add(1)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -178,8 +178,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if a.whole {
-		m.counts.whole.Add(1)
+	if a.fullList {
+		m.counts.fullList.Add(1)
 	}
 	m.counts.entries.Add(int64(a.entries))
 	if a.entries > 0 {
@@ -191,18 +191,18 @@
 }
 
 var (
-	errCut  = errors.New("discovery: the machine or the caller has gone")
-	errTurn = errors.New("discovery: too many calls wait")
+	errCallAborted  = errors.New("discovery: the machine or the caller has gone")
+	errQueueTooLong = errors.New("discovery: too many calls wait")
 )
 
 // ask is a call's answer, once it has come and had its turn.
-func (m *machine) ask(ctx context.Context, r *http.Request) (*answer, error) {
+func (m *machine) prepareResponse(ctx context.Context, r *http.Request) (*listResponse, error) {
 	q := r.URL.Query()
 	if r.URL.Path != "/v1/servers" || r.Method != http.MethodGet {
 		return nil, errors.New("discovery: no such call")
 	}
 	var since uint64
-	var wait time.Duration
+	var timeout time.Duration
 	if q.Has("since") {
 		m.counts.watches.Add(1)
 		var err error
@@ -213,95 +213,95 @@
 		if err != nil {
 			return nil, fmt.Errorf("timeout_ms: %w", err)
 		}
-		wait = min(time.Duration(ms)*time.Millisecond, waitMost)
+		timeout = min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)
 	}
-	a, err := m.await(ctx, since, wait)
+	a, err := m.awaitNewer(ctx, since, timeout)
 	if err != nil {
 		return nil, err
 	}
-	until, ok := m.turn(a)
+	until, ok := m.reserveTurn(a)
 	if !ok {
-		return nil, errTurn
+		return nil, errQueueTooLong
 	}
-	if rest := time.Until(until); rest > 0 {
+	if remaining := time.Until(until); remaining > 0 {
 		select {
-		case <-time.After(rest):
+		case <-time.After(remaining):
 		case <-ctx.Done():
-			return nil, errCut
+			return nil, errCallAborted
 		}
 	}
 	if since != 0 && a.revision != since {
-		m.counts.news.Add(1)
+		m.counts.updates.Add(1)
 	}
 	return a, nil
 }
 
 // await waits until there is something newer than since, or wait is over.
-func (m *machine) await(ctx context.Context, since uint64, wait time.Duration) (*answer, error) {
-	a, news, err := m.list.answer(since)
-	if err != nil || since == 0 || a.revision != since || wait == 0 {
+func (m *machine) awaitNewer(ctx context.Context, since uint64, timeout time.Duration) (*listResponse, error) {
+	a, updated, err := m.list.listResponse(since)
+	if err != nil || since == 0 || a.revision != since || timeout == 0 {
 		return a, err
 	}
 	m.waiting.Add(1)
 	defer m.waiting.Add(-1)
 	m.counts.waiting.Add(1)
 	defer m.counts.waiting.Add(-1)
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-news:
-		a, _, err = m.list.answer(since)
-	case <-over.C:
-		a, _, err = m.list.answer(since)
+	case <-updated:
+		a, _, err = m.list.listResponse(since)
+	case <-timer.C:
+		a, _, err = m.list.listResponse(since)
 	case <-ctx.Done():
-		err = errCut
+		err = errCallAborted
 	}
 	return a, err
 }
 
 // countedListener counts the bytes of its connections.
-type countedListener struct {
+type countingListener struct {
 	net.Listener
-	counts *counters
+	counts *discoveryCounters
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{c, l.counts}, nil
+	return &countingConn{c, l.counts}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	counts *counters
+	counts *discoveryCounters
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.counts.in.Add(int64(n))
+	c.counts.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.counts.out.Add(int64(n))
+	c.counts.bytesOut.Add(int64(n))
 	return n, err
 }
 
 // Discovery is the stand-in's control: its methods are called in the process, or by a driver over standard input and output
 // (see child.go).
 type Discovery struct {
-	list     *list
-	counts   counters
-	machines []*machine
-	away     map[string][]Member // of zones that are lost
-	mu       sync.Mutex          // over away
+	list       *list
+	counts     discoveryCounters
+	machines   []*machine
+	lostByZone map[string][]Member // of zones that are lost
+	mu         sync.Mutex          // over away
 }
 
 // DiscoveryStart says what a discovery begins with.
-type DiscoveryStart struct {
+type DiscoveryConfig struct {
 	Machines  int
 	Upstreams int
 	Zones     int
@@ -310,21 +310,21 @@
 }
 
 // None is the argument or reply of a call that has none.
-type None struct{}
+type Empty struct{}
 
 // Start makes the list and the machines, and replies with their addresses.
-func (d *Discovery) Start(s DiscoveryStart, addresses *[]string) error {
+func (d *Discovery) Start(config DiscoveryConfig, addresses *[]string) error {
 	switch {
-	case s.Machines < 1 || s.Machines > machinesMost:
-		return fmt.Errorf("discovery: %d machines, 1 to %d are allowed", s.Machines, machinesMost)
-	case s.Zones < 1 || len(s.Addresses) == 0:
+	case config.Machines < 1 || config.Machines > maxMachines:
+		return fmt.Errorf("discovery: %d machines, 1 to %d are allowed", config.Machines, maxMachines)
+	case config.Zones < 1 || len(config.Addresses) == 0:
 		return errors.New("discovery: a list needs zones and addresses")
 	case d.list != nil:
 		return errors.New("discovery: started already")
 	}
-	d.list, d.away = newList(s.Upstreams, s.Zones, s.Addresses), map[string][]Member{}
-	for range s.Machines {
-		m, err := newMachine(d.list, &d.counts, "127.0.0.1:0", s.Costs)
+	d.list, d.lostByZone = newList(config.Upstreams, config.Zones, config.Addresses), map[string][]Member{}
+	for range config.Machines {
+		m, err := newMachine(d.list, &d.counts, "127.0.0.1:0", config.Costs)
 		if err != nil {
 			return err
 		}
@@ -337,47 +337,47 @@
 // Stop ends all machines.
 func (d *Discovery) Stop() {
 	for _, m := range d.machines {
-		m.set(ModeDown) // down always works
+		m.setMode(ModeDown) // down always works
 	}
 }
 
 // Listing replies with the whole list.
-func (d *Discovery) Listing(_ None, x *Listing) error {
-	*x = d.list.listing()
+func (d *Discovery) Listing(_ Empty, reply *Listing) error {
+	*reply = d.list.listing()
 	return nil
 }
 
 // Release makes the next change of a release.
-func (d *Discovery) Release(_ None, made *Made) error {
-	*made = d.list.release()
+func (d *Discovery) Release(_ Empty, reply *RevisionTime) error {
+	*reply = d.list.advanceRelease()
 	return nil
 }
 
 // Zone names a zone's upstreams.
 type Zone struct {
-	Name string
-	Most int // upstreams at most; 0: all
+	Name         string
+	MaxUpstreams int // upstreams at most; 0: all
 }
 
 // Lose takes a zone's upstreams off the list at once.
-func (d *Discovery) Lose(z Zone, made *Made) error {
-	if z.Most == 0 {
-		z.Most = len(d.list.listing().Members)
+func (d *Discovery) Lose(z Zone, reply *RevisionTime) error {
+	if z.MaxUpstreams == 0 {
+		z.MaxUpstreams = len(d.list.listing().Members)
 	}
-	gone, at := d.list.remove(z.Name, z.Most)
+	removed, revision := d.list.removeZone(z.Name, z.MaxUpstreams)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.away[z.Name] = append(d.away[z.Name], gone...)
-	*made = at
+	d.lostByZone[z.Name] = append(d.lostByZone[z.Name], removed...)
+	*reply = revision
 	return nil
 }
 
 // Regain puts what a zone has lost back, freshly started.
-func (d *Discovery) Regain(z Zone, made *Made) error {
+func (d *Discovery) Regain(z Zone, reply *RevisionTime) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	*made = d.list.restore(d.away[z.Name])
-	delete(d.away, z.Name)
+	*reply = d.list.restore(d.lostByZone[z.Name])
+	delete(d.lostByZone, z.Name)
 	return nil
 }
 
@@ -388,15 +388,15 @@
 }
 
 // Set changes what a machine does.
-func (d *Discovery) Set(x MachineMode, _ *None) error {
-	if x.Machine < 0 || x.Machine >= len(d.machines) {
-		return fmt.Errorf("discovery: no machine %d", x.Machine)
+func (d *Discovery) Set(request MachineMode, _ *Empty) error {
+	if request.Machine < 0 || request.Machine >= len(d.machines) {
+		return fmt.Errorf("discovery: no machine %d", request.Machine)
 	}
-	return d.machines[x.Machine].set(x.Mode)
+	return d.machines[request.Machine].setMode(request.Mode)
 }
 
 // Cost changes what calls cost, on all machines: a slow discovery has dear ones.
-func (d *Discovery) Cost(c Costs, _ *None) error {
+func (d *Discovery) Cost(c Costs, _ *Empty) error {
 	for _, m := range d.machines {
 		m.mu.Lock()
 		m.costs = c
@@ -412,8 +412,8 @@
 }
 
 // Read replies with the counts and the process's usage.
-func (d *Discovery) Read(_ None, x *DiscoveryReading) (err error) {
-	x.Counts = d.counts.read()
-	x.Usage, err = ownUsage(false)
+func (d *Discovery) Read(_ Empty, reply *DiscoveryReading) (err error) {
+	reply.Counts = d.counts.snapshot()
+	reply.Usage, err = ownUsage(false)
 	return err
 }
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -16,11 +16,11 @@
 )
 
 // standIn is a discovery of one machine with n upstreams.
-func standIn(t *testing.T, n int, costs Costs) (*Discovery, string) {
+func startDiscovery(t *testing.T, n int, costs Costs) (*Discovery, string) {
 	t.Helper()
 	d := &Discovery{}
 	var addresses []string
-	if err := d.Start(DiscoveryStart{Machines: 1, Upstreams: n, Zones: 2, Addresses: []string{"127.0.0.1:1"}, Costs: costs}, &addresses); err != nil {
+	if err := d.Start(DiscoveryConfig{Machines: 1, Upstreams: n, Zones: 2, Addresses: []string{"127.0.0.1:1"}, Costs: costs}, &addresses); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Stop)
@@ -28,82 +28,82 @@
 }
 
 // get makes a call and returns the list, or the status where it is none.
-func get(url string) (Listing, int, error) {
-	var x Listing
+func getListing(url string) (Listing, int, error) {
+	var list Listing
 	resp, err := http.Get(url)
 	if err != nil {
-		return x, 0, err
+		return list, 0, err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode == http.StatusOK {
-		err = json.Unmarshal(text, &x)
+		err = json.Unmarshal(text, &list)
 	}
-	return x, resp.StatusCode, err
+	return list, resp.StatusCode, err
 }
 
-func TestStandInTellsChangesAndWholeLists(t *testing.T) {
-	d, url := standIn(t, 10, Costs{})
-	whole, _, err := get(url)
-	if err != nil || !whole.Complete || whole.Revision != 1 || len(whole.Members) != 10 {
-		t.Fatalf("whole list: %v, %+v", err, whole)
+func TestDiscoveryServesChangesAndFullLists(t *testing.T) {
+	d, url := startDiscovery(t, 10, Costs{})
+	full, _, err := getListing(url)
+	if err != nil || !full.Complete || full.Revision != 1 || len(full.Members) != 10 {
+		t.Fatalf("whole list: %v, %+v", err, full)
 	}
-	if x, _, err := get(url + "?since=1&timeout_ms=1"); err != nil || x.Complete || x.Revision != 1 || x.Members == nil || len(x.Members) != 0 {
-		t.Errorf("a watch without news: %v, %+v; want no entries", err, x)
+	if list, _, err := getListing(url + "?since=1&timeout_ms=1"); err != nil || list.Complete || list.Revision != 1 || list.Members == nil || len(list.Members) != 0 {
+		t.Errorf("a watch without news: %v, %+v; want no entries", err, list)
 	}
-	heard := make(chan Listing, 1)
+	received := make(chan Listing, 1)
 	go func() {
-		x, _, _ := get(url + "?since=1&timeout_ms=60000")
-		heard <- x
+		list, _, _ := getListing(url + "?since=1&timeout_ms=60000")
+		received <- list
 	}()
 	for d.counts.waiting.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	var made Made
-	d.Release(None{}, &made)
-	if x := <-heard; x.Complete || x.Revision != 2 || len(x.Members) != 1 || x.Members[0].Phase != "draining" {
-		t.Errorf("a watch that waited: %+v; want one that drains", x)
+	var revision RevisionTime
+	d.Release(Empty{}, &revision)
+	if list := <-received; list.Complete || list.Revision != 2 || len(list.Members) != 1 || list.Members[0].Phase != "draining" {
+		t.Errorf("a watch that waited: %+v; want one that drains", list)
 	}
-	d.Release(None{}, &made)
-	d.Release(None{}, &made)
-	x, _, err := get(url + "?since=1&timeout_ms=60000")
-	if err != nil || x.Revision != 4 || len(x.Members) != 2 || x.Members[0].Phase != "up" || x.Members[1].Phase != "removed" {
-		t.Errorf("three changes of two upstreams: %v, %+v; want the newest state of each", err, x)
+	d.Release(Empty{}, &revision)
+	d.Release(Empty{}, &revision)
+	list, _, err := getListing(url + "?since=1&timeout_ms=60000")
+	if err != nil || list.Revision != 4 || len(list.Members) != 2 || list.Members[0].Phase != "up" || list.Members[1].Phase != "removed" {
+		t.Errorf("three changes of two upstreams: %v, %+v; want the newest state of each", err, list)
 	}
-	if x, _, _ := get(url + "?since=99&timeout_ms=1"); !x.Complete {
-		t.Errorf("a revision that never was: %+v; want the whole list", x)
+	if list, _, _ := getListing(url + "?since=99&timeout_ms=1"); !list.Complete {
+		t.Errorf("a revision that never was: %+v; want the whole list", list)
 	}
-	for range history + 1 {
-		d.Release(None{}, &made)
+	for range maxLoggedChanges + 1 {
+		d.Release(Empty{}, &revision)
 	}
-	if x, _, _ := get(url + "?since=2&timeout_ms=1"); !x.Complete || len(x.Members) != 9 && len(x.Members) != 10 {
-		t.Errorf("a revision from before what is kept: %+v; want the whole list", x)
+	if list, _, _ := getListing(url + "?since=2&timeout_ms=1"); !list.Complete || len(list.Members) != 9 && len(list.Members) != 10 {
+		t.Errorf("a revision from before what is kept: %+v; want the whole list", list)
 	}
-	if _, status, _ := get(url + "?since=x&timeout_ms=1"); status != http.StatusBadRequest {
+	if _, status, _ := getListing(url + "?since=x&timeout_ms=1"); status != http.StatusBadRequest {
 		t.Errorf("a since that is no number: status %d", status)
 	}
 }
 
 // Calls wait for their turn, and one that would wait too long fails.
-func TestStandInServesInTurn(t *testing.T) {
-	d, url := standIn(t, 2, Costs{})
+func TestDiscoveryServesCallsInTurn(t *testing.T) {
+	d, url := startDiscovery(t, 2, Costs{})
 	m := d.machines[0]
 	m.costs = Costs{Call: time.Second, Entry: 10 * time.Second}
-	first, ok := m.turn(&answer{entries: 0})
-	second, ok2 := m.turn(&answer{entries: 0})
-	third, ok3 := m.turn(&answer{entries: 1})
+	first, ok := m.reserveTurn(&listResponse{entries: 0})
+	second, ok2 := m.reserveTurn(&listResponse{entries: 0})
+	third, ok3 := m.reserveTurn(&listResponse{entries: 1})
 	if !ok || !ok2 || !ok3 || second.Sub(first) != time.Second || third.Sub(second) != 11*time.Second {
 		t.Errorf("turns end %v and %v after the first", second.Sub(first), third.Sub(first))
 	}
-	if _, status, err := get(url); err != nil || status != http.StatusServiceUnavailable {
+	if _, status, err := getListing(url); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("a call behind 13 s of others: %d, %v; want 503", status, err)
 	}
 	want(t, "failed", d.counts.failed.Load(), 1)
 }
 
 // Down, a machine refuses and resets; silent, it says nothing on what is open until it is back, and resets that then.
-func TestStandInGoesAndComesBack(t *testing.T) {
-	d, url := standIn(t, 2, Costs{})
+func TestDiscoveryMachineModes(t *testing.T) {
+	d, url := startDiscovery(t, 2, Costs{})
 	set := func(m Mode) {
 		t.Helper()
 		if err := d.Set(MachineMode{0, m}, nil); err != nil {
@@ -113,7 +113,7 @@
 	watch := func() chan error {
 		ended, waiting := make(chan error, 1), d.counts.waiting.Load()
 		go func() {
-			_, _, err := get(url + "?since=1&timeout_ms=60000")
+			_, _, err := getListing(url + "?since=1&timeout_ms=60000")
 			ended <- err
 		}()
 		for d.counts.waiting.Load() == waiting {
@@ -126,14 +126,14 @@
 	if err := <-ended; err == nil {
 		t.Error("a watch outlived its machine")
 	}
-	if _, _, err := get(url); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, _, err := getListing(url); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a call while it is down: %v; want it refused", err)
 	}
 	set(ModeUp)
 	ended = watch()
 	set(ModeSilent)
-	var made Made
-	d.Release(None{}, &made) // what a machine that says nothing knows is not told
+	var revision RevisionTime
+	d.Release(Empty{}, &revision) // what a machine that says nothing knows is not told
 	for d.counts.waiting.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -152,13 +152,13 @@
 	if err := <-ended; err == nil {
 		t.Error("a watch was answered that its machine had left")
 	}
-	if x, _, err := get(url); err != nil || x.Revision != 2 {
+	if x, _, err := getListing(url); err != nil || x.Revision != 2 {
 		t.Errorf("back: %v, %+v; want revision 2", err, x)
 	}
 }
 
 // The operators' two programs hold nothing of the scale run, and nothing that is not this module's or the standard library's.
-func TestProgramsHoldNothingOfTheRun(t *testing.T) {
+func TestProgramsDoNotDependOnScale(t *testing.T) {
 	cmd := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", "./cmd/olivearch", "./cmd/clayladder-sim")
 	cmd.Dir = filepath.Join("..", "..")
 	out, err := cmd.Output()
--- a/internal/scale/files.go
+++ b/internal/scale/files.go
@@ -13,17 +13,17 @@
 // differs from the one before in a class of its own name and in one tenant's quota; the rest is the same.
 
 // Shape is the size of a fleet. Where fewer balancers run than the fleet has, they are spread over its ranks.
-type Shape struct {
-	Balancers int           `json:"balancers"` // that the settings name
-	Upstreams int           `json:"upstreams"`
-	Zones     int           `json:"zones"`
-	Classes   int           `json:"classes"`
-	Tenants   int           `json:"tenants"`
-	AskWithin time.Duration `json:"ask_within_ns"`
+type FleetDimensions struct {
+	Balancers            int           `json:"balancers"` // that the settings name
+	Upstreams            int           `json:"upstreams"`
+	Zones                int           `json:"zones"`
+	Classes              int           `json:"classes"`
+	Tenants              int           `json:"tenants"`
+	MaxDiscoveryInterval time.Duration `json:"ask_within_ns"`
 }
 
 // Spec is what differs from one balancer to the next.
-type Spec struct {
+type BalancerSpec struct {
 	Name      string
 	Listen    string
 	Discovery string
@@ -33,7 +33,7 @@
 }
 
 // settings are a version of the settings, but for zone and rank, and the list that balancers know at their start.
-type settings struct {
+type settingsTemplate struct {
 	shared []byte
 	known  []byte
 }
@@ -42,21 +42,21 @@
 func versionClass(version int) string { return fmt.Sprintf("v%d", version) }
 
 // newSettings renders a version.
-func newSettings(s Shape, version int, known Listing) (*settings, error) {
+func newSettingsTemplate(dimensions FleetDimensions, version int, known Listing) (*settingsTemplate, error) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `"balancers":%d,"granularity_us":1000,"membership_mode":"on_request","weights":"nominal","worth_by":"work",`,
-		s.Balancers)
+		dimensions.Balancers)
 	b.WriteString(`"limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":200000,"keepalive_us":60000000,"probes":false,` +
 		`"retry_after":true,"max_retry_after_us":2000000,"second_copies":false},`)
 	fmt.Fprintf(&b, `"obligations":{"answer_slack_us":50000,"ask_within_us":%d,"cold_from":0.3,"drain_grace_us":500000,`+
-		`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3},"profiles":[`, s.AskWithin.Microseconds())
-	for i := range s.Classes - 1 {
+		`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3},"profiles":[`, dimensions.MaxDiscoveryInterval.Microseconds())
+	for i := range dimensions.Classes - 1 {
 		repeat := [...]string{`"read_like"`, `"idempotency_key","group":"all","memory_span_us":9000000`, `"non_idempotent"`}[i%3]
 		fmt.Fprintf(&b, `{"name":"c%d","target_us":250000,"give_up_us":750000,"worth":1,"repeat":%s},`, i, repeat)
 	}
 	fmt.Fprintf(&b, `{"name":"%s","target_us":250000,"give_up_us":750000,"worth":1,"repeat":"read_like"}],"tenants":[`,
 		versionClass(version))
-	for i := range s.Tenants {
+	for i := range dimensions.Tenants {
 		quota := 2.1
 		if i == 0 {
 			quota += float64(version) / 1000
@@ -67,21 +67,21 @@
 		fmt.Fprintf(&b, `{"name":"t%d","quota_rps":%g}`, i, quota)
 	}
 	b.WriteString(`],"reporting":{"via":"piggyback"}}`)
-	list, err := json.Marshal(known)
+	encoded, err := json.Marshal(known)
 	if err != nil {
 		return nil, fmt.Errorf("encoding the known list: %w", err)
 	}
-	return &settings{shared: b.Bytes(), known: list}, nil
+	return &settingsTemplate{shared: b.Bytes(), known: encoded}, nil
 }
 
 // write puts a balancer's file in place whole: who reads it finds the old one or the new one. It returns the file's hash, as
 // balancers tell it.
-func (s *settings) write(path string, p Spec) (hash string, err error) {
+func (s *settingsTemplate) write(path string, spec BalancerSpec) (hash string, err error) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1,"memory_mb":%d,"sockets":1024},"known":`,
-		p.Name, p.Listen, p.Discovery, uint64(p.Rank+1)*0x9e3779b97f4a7c15, p.MemoryMB)
+		spec.Name, spec.Listen, spec.Discovery, uint64(spec.Rank+1)*0x9e3779b97f4a7c15, spec.MemoryMB)
 	b.Write(s.known)
-	fmt.Fprintf(&b, `,"settings":{"az":%q,"rank":%d,`, p.Zone, p.Rank)
+	fmt.Fprintf(&b, `,"settings":{"az":%q,"rank":%d,`, spec.Zone, spec.Rank)
 	b.Write(s.shared)
 	b.WriteByte('}')
 	if err := os.WriteFile(path+".new", b.Bytes(), 0o600); err != nil {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -19,7 +19,7 @@
 
 // Size is the size of a fleet as it is run, beside the one that its settings name.
 type Size struct {
-	Shape
+	FleetDimensions
 	Hollow   int     `json:"hollow"`
 	Real     int     `json:"real"`
 	Machines int     `json:"machines"` // of discovery
@@ -28,107 +28,107 @@
 }
 
 const (
-	hollowShare = 200 // hollow balancers in one process
-	settleMost  = 90 * time.Second
-	inForceMost = 11 * time.Second // the users' figure
-	memoryMB    = 256              // the users' figure, told to balancers as their limit
+	hollowPerProcess = 200 // hollow balancers in one process
+	settleTimeout    = 90 * time.Second
+	inForceTimeout   = 11 * time.Second // the users' figure
+	balancerMemoryMB = 256              // the users' figure, told to balancers as their limit
 )
 
 // fleet is a running fleet.
 type fleet struct {
-	size      Size
-	dir       string   // of its files
-	programs  []string // the real balancers', which take turns
-	kids      *children
-	discovery *child
-	addresses []string // of discovery's machines
-	hollow    []*child
-	paths     [][]string // of the hollow ones' files, by process
-	specs     map[string]Spec
-	reals     []*realOne
-	upstreams *upstreams
-	traffic   *traffic
-	version   int               // of the settings
-	hashes    map[string]string // of the files of this version
-	told      []SettingsTold    // the versions that balancers were told of since the last forget
-	end       context.CancelFunc
+	size            Size
+	dir             string   // of its files
+	programs        []string // the real balancers', which take turns
+	processes       *processGroup
+	discovery       *child
+	addresses       []string // of discovery's machines
+	hollow          []*child
+	hollowPaths     [][]string // of the hollow ones' files, by process
+	specs           map[string]BalancerSpec
+	realBalancers   []*realBalancer
+	upstreamServers *upstreamServers
+	traffic         *traffic
+	settingsVersion int                // of the settings
+	fileHashes      map[string]string  // of the files of this version
+	delivered       []SettingsDelivery // the versions that balancers were told of since the last forget
+	stop            context.CancelFunc
 }
 
 // newFleet starts a fleet and waits until it has settled. Where it fails, what it has started is ended.
-func newFleet(size Size, kids *children, programs ...string) (f *fleet, err error) {
-	f = &fleet{size: size, kids: kids, programs: programs, specs: map[string]Spec{}}
-	ctx, end := context.WithCancel(context.Background())
-	f.end = end
+func newFleet(size Size, processes *processGroup, programs ...string) (f *fleet, err error) {
+	f = &fleet{size: size, processes: processes, programs: programs, specs: map[string]BalancerSpec{}}
+	ctx, stop := context.WithCancel(context.Background())
+	f.stop = stop
 	defer func() {
 		if err != nil {
 			f.close()
 		}
 	}()
-	if f.dir, err = os.MkdirTemp(kids.dir, "fleet-"); err != nil {
+	if f.dir, err = os.MkdirTemp(processes.dir, "fleet-"); err != nil {
 		return f, fmt.Errorf("a fleet's files: %w", err)
 	}
-	if f.upstreams, err = newUpstreams(size.Zones); err != nil {
+	if f.upstreamServers, err = newUpstreamServers(size.Zones); err != nil {
 		return f, err
 	}
-	if f.discovery, err = kids.role(RoleDiscovery, "discovery"); err != nil {
+	if f.discovery, err = processes.startRole(RoleDiscovery, "discovery"); err != nil {
 		return f, err
 	}
-	if err = f.discovery.call("Discovery.Start", DiscoveryStart{Machines: size.Machines, Upstreams: size.Upstreams, Zones: size.Zones,
-		Addresses: f.upstreams.address, Costs: size.Costs}, &f.addresses); err != nil {
+	if err = f.discovery.call("Discovery.Start", DiscoveryConfig{Machines: size.Machines, Upstreams: size.Upstreams, Zones: size.Zones,
+		Addresses: f.upstreamServers.hostPorts, Costs: size.Costs}, &f.addresses); err != nil {
 		return f, err
 	}
-	if err = f.name(); err != nil {
+	if err = f.assignSpecs(); err != nil {
 		return f, err
 	}
-	if err = f.writeFiles(); err != nil {
+	if err = f.writeConfigurations(); err != nil {
 		return f, err
 	}
-	for i, paths := range f.paths {
-		c, err := kids.role(RoleHollow, fmt.Sprintf("hollow-%d", i+1))
+	for i, hollowPaths := range f.hollowPaths {
+		c, err := processes.startRole(RoleHollow, fmt.Sprintf("hollow-%d", i+1))
 		if err != nil {
 			return f, err
 		}
 		f.hollow = append(f.hollow, c)
-		if err := c.call("Hollow.Start", paths, &None{}); err != nil {
+		if err := c.call("Hollow.Start", hollowPaths, &Empty{}); err != nil {
 			return f, err
 		}
 	}
-	for _, r := range f.reals {
-		if err = f.startReal(r); err != nil {
+	for _, r := range f.realBalancers {
+		if err = f.startRealBalancer(r); err != nil {
 			return f, err
 		}
-		go r.front(ctx)
+		go r.checkHealth(ctx)
 	}
-	for _, r := range f.reals {
+	for _, r := range f.realBalancers {
 		if err = r.awaitReady(); err != nil {
 			return f, err
 		}
 	}
-	if len(f.reals) > 0 {
-		f.traffic = newTraffic(f.reals, len(f.programs), size.Shape)
+	if len(f.realBalancers) > 0 {
+		f.traffic = newTraffic(f.realBalancers, len(f.programs), size.FleetDimensions)
 		go f.traffic.run(ctx, size.Rate)
 	}
-	return f, f.settle()
+	return f, f.awaitSettled()
 }
 
 // name gives each balancer a name, a rank and a machine of discovery. Ranks are spread over those that the settings name.
-func (f *fleet) name() error {
-	all := f.size.Hollow + f.size.Real
-	for i := range all {
-		s := Spec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: f.addresses[i%len(f.addresses)],
-			Zone: zoneName(i % f.size.Zones), Rank: i * f.size.Balancers / all, MemoryMB: memoryMB}
+func (f *fleet) assignSpecs() error {
+	total := f.size.Hollow + f.size.Real
+	for i := range total {
+		s := BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: f.addresses[i%len(f.addresses)],
+			Zone: zoneName(i % f.size.Zones), Rank: i * f.size.Balancers / total, MemoryMB: balancerMemoryMB}
 		path := filepath.Join(f.dir, s.Name+".json")
 		if i >= f.size.Hollow {
 			var err error
 			if s.Listen, err = freeAddress(); err != nil {
 				return err
 			}
-			f.reals = append(f.reals, &realOne{spec: s, path: path, program: f.programs[len(f.reals)%len(f.programs)]})
+			f.realBalancers = append(f.realBalancers, &realBalancer{spec: s, path: path, program: f.programs[len(f.realBalancers)%len(f.programs)]})
 		} else {
-			if i%hollowShare == 0 {
-				f.paths = append(f.paths, nil)
+			if i%hollowPerProcess == 0 {
+				f.hollowPaths = append(f.hollowPaths, nil)
 			}
-			f.paths[len(f.paths)-1] = append(f.paths[len(f.paths)-1], path)
+			f.hollowPaths[len(f.hollowPaths)-1] = append(f.hollowPaths[len(f.hollowPaths)-1], path)
 		}
 		f.specs[path] = s
 	}
@@ -136,19 +136,19 @@
 }
 
 // writeFiles writes the next version of the settings for all balancers.
-func (f *fleet) writeFiles() error {
+func (f *fleet) writeConfigurations() error {
 	var known Listing
-	if err := f.discovery.call("Discovery.Listing", None{}, &known); err != nil {
+	if err := f.discovery.call("Discovery.Listing", Empty{}, &known); err != nil {
 		return err
 	}
-	f.version++
-	f.hashes = map[string]string{}
-	s, err := newSettings(f.size.Shape, f.version, known)
+	f.settingsVersion++
+	f.fileHashes = map[string]string{}
+	s, err := newSettingsTemplate(f.size.FleetDimensions, f.settingsVersion, known)
 	if err != nil {
 		return err
 	}
 	for path, spec := range f.specs {
-		if f.hashes[path], err = s.write(path, spec); err != nil {
+		if f.fileHashes[path], err = s.write(path, spec); err != nil {
 			return err
 		}
 	}
@@ -158,11 +158,11 @@
 // hangup has all balancers read their files again.
 func (f *fleet) hangup() error {
 	for i, c := range f.hollow {
-		if err := c.call("Hollow.Hangup", f.paths[i], &None{}); err != nil {
+		if err := c.call("Hollow.Hangup", f.hollowPaths[i], &Empty{}); err != nil {
 			return err
 		}
 	}
-	for _, r := range f.reals {
+	for _, r := range f.realBalancers {
 		if err := r.hangup(); err != nil {
 			return err
 		}
@@ -171,9 +171,9 @@
 }
 
 // settle waits until each balancer waits in a watch of the newest revision.
-func (f *fleet) settle() error {
+func (f *fleet) awaitSettled() error {
 	want := int64(f.size.Hollow + f.size.Real)
-	for began := time.Now(); ; time.Sleep(50 * time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
 		r, err := f.readDiscovery()
 		if err != nil {
 			return err
@@ -181,26 +181,26 @@
 		if r.Waiting >= want {
 			return nil
 		}
-		if time.Since(began) > settleMost {
-			return fmt.Errorf("after %v %d of %d balancers wait in a watch", settleMost, r.Waiting, want)
+		if time.Since(start) > settleTimeout {
+			return fmt.Errorf("after %v %d of %d balancers wait in a watch", settleTimeout, r.Waiting, want)
 		}
 	}
 }
 
 func (f *fleet) close() {
-	f.end()
-	for _, r := range f.reals {
+	f.stop()
+	for _, r := range f.realBalancers {
 		if r.child != nil {
-			f.kids.end(r.child)
+			f.processes.stop(r.child)
 		}
 	}
 	for _, c := range append(slices.Clone(f.hollow), f.discovery) {
 		if c != nil {
-			f.kids.end(c)
+			f.processes.stop(c)
 		}
 	}
-	if f.upstreams != nil {
-		f.upstreams.close()
+	if f.upstreamServers != nil {
+		f.upstreamServers.close()
 	}
 	if err := os.RemoveAll(f.dir); err != nil {
 		slog.Warn("a fleet's files stay", "err", err)
@@ -210,107 +210,107 @@
 // --- What it uses ---
 
 // reading is what all have used at a moment.
-type reading struct {
-	at        time.Time
-	discovery DiscoveryReading
-	hollow    []Usage
-	real      []Usage
-	own       Usage         // of the run's own process, with the clients and the upstreams
-	cores     time.Duration // that the processors which the run may use were busy, with whatever
-	memory    int64
+type usageReading struct {
+	at          time.Time
+	discovery   DiscoveryReading
+	hollow      []Usage
+	real        []Usage
+	driver      Usage         // of the run's own process, with the clients and the upstreams
+	busyTime    time.Duration // that the processors which the run may use were busy, with whatever
+	memoryBytes int64
 }
 
 func (f *fleet) readDiscovery() (DiscoveryReading, error) {
 	var r DiscoveryReading
-	err := f.discovery.call("Discovery.Read", None{}, &r)
+	err := f.discovery.call("Discovery.Read", Empty{}, &r)
 	return r, err
 }
 
 // read reads all. heap: with the hollow ones' live heap.
-func (f *fleet) read(heap bool) (reading, error) {
-	x := reading{hollow: make([]Usage, len(f.hollow)), real: make([]Usage, len(f.reals)), memory: f.kids.memory()}
-	var failed []error
+func (f *fleet) readUsage(withHeap bool) (usageReading, error) {
+	result := usageReading{hollow: make([]Usage, len(f.hollow)), real: make([]Usage, len(f.realBalancers)), memoryBytes: f.processes.memoryBytes()}
+	var errs []error
 	for i, c := range f.hollow {
-		failed = append(failed, c.call("Hollow.Read", heap, &x.hollow[i]))
+		errs = append(errs, c.call("Hollow.Read", withHeap, &result.hollow[i]))
 	}
-	for i, r := range f.reals {
+	for i, r := range f.realBalancers {
 		select {
-		case <-r.child.ended: // with its zone: nothing is read
+		case <-r.child.exited: // with its zone: nothing is read
 			continue
 		default:
 		}
 		var err error
-		x.real[i], err = processUsage(r.child.cmd.Process.Pid)
-		failed = append(failed, err)
+		result.real[i], err = processUsage(r.child.cmd.Process.Pid)
+		errs = append(errs, err)
 	}
 	var err error
-	x.discovery, err = f.readDiscovery()
-	failed = append(failed, err)
-	x.own, err = ownUsage(false)
-	failed = append(failed, err)
-	x.cores, err = coresBusy()
-	x.at = time.Now()
-	return x, errors.Join(append(failed, err)...)
+	result.discovery, err = f.readDiscovery()
+	errs = append(errs, err)
+	result.driver, err = ownUsage(false)
+	errs = append(errs, err)
+	result.busyTime, err = coresBusy()
+	result.at = time.Now()
+	return result, errors.Join(append(errs, err)...)
 }
 
 // Spent is what was spent between two readings. Figures of balancers are for one balancer.
-type Spent struct {
+type ResourceUse struct {
 	Seconds float64 `json:"seconds"`
 
-	HollowCPU  float64 `json:"hollow_cpu_us_per_s"`    // µs of processor time a second, for one hollow balancer
-	HollowBusy float64 `json:"hollow_cores"`           // processors that the hollow processes kept busy together
-	RealCPU    float64 `json:"real_cpu_us_per_s"`      // for one real one, its clients' requests included
-	HollowRSS  float64 `json:"hollow_rss_mb"`          // the process's, divided
-	HollowHeap float64 `json:"hollow_heap_mb"`         // live, divided; 0: not read
-	RealRSS    float64 `json:"real_rss_mb"`            // the largest
-	In         float64 `json:"in_bytes_per_s"`         // from discovery, for one balancer, with heads
-	Out        float64 `json:"out_bytes_per_s"`        // to discovery
-	Discovery  float64 `json:"discovery_cpu_us_per_s"` // of all its machines, in one process
-	Calls      float64 `json:"calls_per_s"`
-	News       float64 `json:"news_per_s"`
-	Whole      float64 `json:"whole_lists"`
-	Failed     float64 `json:"failed_calls"`
-	Written    float64 `json:"discovery_out_bytes_per_s"`
-	DiscRSS    float64 `json:"discovery_rss_mb"`
-	Memory     float64 `json:"memory_mb"` // of all processes
+	HollowCPU    float64 `json:"hollow_cpu_us_per_s"`    // µs of processor time a second, for one hollow balancer
+	HollowCores  float64 `json:"hollow_cores"`           // processors that the hollow processes kept busy together
+	RealCPU      float64 `json:"real_cpu_us_per_s"`      // for one real one, its clients' requests included
+	HollowRSS    float64 `json:"hollow_rss_mb"`          // the process's, divided
+	HollowHeap   float64 `json:"hollow_heap_mb"`         // live, divided; 0: not read
+	RealRSS      float64 `json:"real_rss_mb"`            // the largest
+	In           float64 `json:"in_bytes_per_s"`         // from discovery, for one balancer, with heads
+	Out          float64 `json:"out_bytes_per_s"`        // to discovery
+	DiscoveryCPU float64 `json:"discovery_cpu_us_per_s"` // of all its machines, in one process
+	Calls        float64 `json:"calls_per_s"`
+	Updates      float64 `json:"news_per_s"`
+	FullLists    float64 `json:"whole_lists"`
+	Failed       float64 `json:"failed_calls"`
+	DiscoveryOut float64 `json:"discovery_out_bytes_per_s"`
+	DiscoveryRSS float64 `json:"discovery_rss_mb"`
+	Memory       float64 `json:"memory_mb"` // of all processes
 	// Driver is what the run's own process used, clients and upstreams with it. Others is what was used by no process of the
 	// run, on the processors that it may use, in processors: where it is not small, times are too long.
-	Driver float64 `json:"driver_cores"`
-	Others float64 `json:"others_cores"`
+	DriverCores float64 `json:"driver_cores"`
+	OtherCores  float64 `json:"others_cores"`
 }
 
-const mb = 1 << 20
+const bytesPerMB = 1 << 20
 
 // spent is what was spent from a to b.
-func (f *fleet) spent(a, b reading) Spent {
-	d, s := b.discovery.Counts.sub(a.discovery.Counts), b.at.Sub(a.at).Seconds()
-	all := float64(f.size.Hollow + f.size.Real)
-	x := Spent{Seconds: s, In: float64(d.BytesOut) / s / all, Out: float64(d.BytesIn) / s / all,
-		Discovery: micros(b.discovery.CPU-a.discovery.CPU) / s, Calls: float64(d.Calls) / s, News: float64(d.News) / s, Whole: float64(d.Whole),
-		Failed: float64(d.Failed), Written: float64(d.BytesOut) / s, DiscRSS: float64(b.discovery.RSS) / mb, Memory: float64(b.memory) / mb}
-	for i := range b.hollow {
-		x.HollowCPU += micros(b.hollow[i].CPU-a.hollow[i].CPU) / s
-		x.HollowRSS += float64(b.hollow[i].RSS) / mb
-		x.HollowHeap += float64(b.hollow[i].Heap) / mb
-	}
-	x.HollowBusy = x.HollowCPU / 1e6
+func (f *fleet) resourceUse(before, after usageReading) ResourceUse {
+	counts, seconds := after.discovery.Counts.sub(before.discovery.Counts), after.at.Sub(before.at).Seconds()
+	balancers := float64(f.size.Hollow + f.size.Real)
+	use := ResourceUse{Seconds: seconds, In: float64(counts.BytesOut) / seconds / balancers, Out: float64(counts.BytesIn) / seconds / balancers,
+		DiscoveryCPU: microseconds(after.discovery.CPU-before.discovery.CPU) / seconds, Calls: float64(counts.Calls) / seconds, Updates: float64(counts.Updates) / seconds, FullLists: float64(counts.FullLists),
+		Failed: float64(counts.Failed), DiscoveryOut: float64(counts.BytesOut) / seconds, DiscoveryRSS: float64(after.discovery.RSS) / bytesPerMB, Memory: float64(after.memoryBytes) / bytesPerMB}
+	for i := range after.hollow {
+		use.HollowCPU += microseconds(after.hollow[i].CPU-before.hollow[i].CPU) / seconds
+		use.HollowRSS += float64(after.hollow[i].RSS) / bytesPerMB
+		use.HollowHeap += float64(after.hollow[i].Heap) / bytesPerMB
+	}
+	use.HollowCores = use.HollowCPU / 1e6
 	if n := float64(f.size.Hollow); n > 0 {
-		x.HollowCPU, x.HollowRSS, x.HollowHeap = x.HollowCPU/n, x.HollowRSS/n, x.HollowHeap/n
+		use.HollowCPU, use.HollowRSS, use.HollowHeap = use.HollowCPU/n, use.HollowRSS/n, use.HollowHeap/n
 	}
-	counted, reals := 0.0, 0.0
-	for i := range b.real {
-		if used := b.real[i].CPU - a.real[i].CPU; used >= 0 { // a restarted one begins anew
-			reals, counted = reals+micros(used)/s, counted+1
+	counted, realCPU := 0.0, 0.0
+	for i := range after.real {
+		if used := after.real[i].CPU - before.real[i].CPU; used >= 0 { // a restarted one begins anew
+			realCPU, counted = realCPU+microseconds(used)/seconds, counted+1
 		}
-		x.RealRSS = max(x.RealRSS, float64(b.real[i].RSS)/mb)
+		use.RealRSS = max(use.RealRSS, float64(after.real[i].RSS)/bytesPerMB)
 	}
-	x.RealCPU = reals / max(counted, 1)
-	x.Driver = micros(b.own.CPU-a.own.CPU) / s / 1e6
-	x.Others = max(0, micros(b.cores-a.cores)/s/1e6-x.Driver-x.HollowBusy-(x.Discovery+reals)/1e6)
-	return x
+	use.RealCPU = realCPU / max(counted, 1)
+	use.DriverCores = microseconds(after.driver.CPU-before.driver.CPU) / seconds / 1e6
+	use.OtherCores = max(0, microseconds(after.busyTime-before.busyTime)/seconds/1e6-use.DriverCores-use.HollowCores-(use.DiscoveryCPU+realCPU)/1e6)
+	return use
 }
 
-func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
 // --- How long changes take ---
 
@@ -324,57 +324,57 @@
 }
 
 // summary is the quantiles of delays.
-func summary(changes int, d Delays) InForce {
-	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
+func summarize(changes int, delays Delays) InForce {
+	histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	last := int64(0)
-	for _, us := range d.Micros {
-		h.RecordValue(max(us, 1)) // an hour is more than any run
+	for _, us := range delays.Micros {
+		histogram.RecordValue(max(us, 1)) // an hour is more than any run
 		last = max(last, us)
 	}
-	return InForce{Changes: changes, P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000,
-		Last: float64(last) / 1000, Missing: d.Missing}
+	return InForce{Changes: changes, P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000,
+		Last: float64(last) / 1000, Missing: delays.Missing}
 }
 
 // inForce tells how long changes of the list took on the hollow ones. It waits for the last of them, at most until the
 // time that the users allow is over.
-func (f *fleet) inForce(made []Made, within time.Duration) (InForce, error) {
-	if len(made) == 0 || len(f.hollow) == 0 {
+func (f *fleet) awaitInForce(revisions []RevisionTime, timeout time.Duration) (InForce, error) {
+	if len(revisions) == 0 || len(f.hollow) == 0 {
 		return InForce{}, nil
 	}
-	until := time.Unix(0, made[len(made)-1].At).Add(within)
+	deadline := time.Unix(0, revisions[len(revisions)-1].At).Add(timeout)
 	for {
-		all, err := f.delays("Hollow.Since", made)
-		if err != nil || all.Missing == 0 || time.Now().After(until) {
-			return summary(len(made), all), err
+		combined, err := f.collectDelays("Hollow.Since", revisions)
+		if err != nil || combined.Missing == 0 || time.Now().After(deadline) {
+			return summarize(len(revisions), combined), err
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
 // delays asks all hollow processes.
-func (f *fleet) delays(method string, args any) (Delays, error) {
+func (f *fleet) collectDelays(method string, args any) (Delays, error) {
 	var mu sync.Mutex
-	var all Delays
-	var failed []error
-	var wait sync.WaitGroup
+	var combined Delays
+	var errs []error
+	var wg sync.WaitGroup
 	for _, c := range f.hollow {
-		wait.Go(func() {
+		wg.Go(func() {
 			var d Delays
 			err := c.call(method, args, &d)
 			mu.Lock()
 			defer mu.Unlock()
-			all.Micros, all.Missing, failed = append(all.Micros, d.Micros...), all.Missing+d.Missing, append(failed, err)
+			combined.Micros, combined.Missing, errs = append(combined.Micros, d.Micros...), combined.Missing+d.Missing, append(errs, err)
 		})
 	}
-	wait.Wait()
-	return all, errors.Join(failed...)
+	wg.Wait()
+	return combined, errors.Join(errs...)
 }
 
 // forget drops what the hollow ones have noted of changes so far.
-func (f *fleet) forget() error {
-	f.told = nil
+func (f *fleet) forgetChanges() error {
+	f.delivered = nil
 	for _, c := range f.hollow {
-		if err := c.call("Hollow.Forget", None{}, &None{}); err != nil {
+		if err := c.call("Hollow.Forget", Empty{}, &Empty{}); err != nil {
 			return err
 		}
 	}
@@ -382,84 +382,84 @@
 }
 
 // play makes changes of a release at a rate, for a time, and returns them. At the rate 0 it only waits.
-func (f *fleet) play(rate float64, span time.Duration) ([]Made, error) {
-	var made []Made
-	began := time.Now()
-	for span > time.Since(began) {
-		due := time.Duration(float64(len(made)) / max(rate, 1e-9) * float64(time.Second))
-		if rate == 0 || due >= span {
-			time.Sleep(span - time.Since(began))
+func (f *fleet) releaseAtRate(rate float64, duration time.Duration) ([]RevisionTime, error) {
+	var revisions []RevisionTime
+	start := time.Now()
+	for duration > time.Since(start) {
+		due := time.Duration(float64(len(revisions)) / max(rate, 1e-9) * float64(time.Second))
+		if rate == 0 || due >= duration {
+			time.Sleep(duration - time.Since(start))
 			break
 		}
-		time.Sleep(due - time.Since(began))
-		var m Made
-		if err := f.discovery.call("Discovery.Release", None{}, &m); err != nil {
-			return made, err
+		time.Sleep(due - time.Since(start))
+		var revision RevisionTime
+		if err := f.discovery.call("Discovery.Release", Empty{}, &revision); err != nil {
+			return revisions, err
 		}
-		made = append(made, m)
+		revisions = append(revisions, revision)
 	}
-	return made, nil
+	return revisions, nil
 }
 
 // --- Settings ---
 
 // Reload is a change of the settings on all balancers.
 type Reload struct {
-	Hollow InForce   `json:"hollow"` // until the settings were in force, by the balancers' word
-	Real   []InForce `json:"real"`   // until a request of the class that is new was served, for each program
-	Wrong  []Counted `json:"wrong"`  // the last statuses of these requests where it never was, for each program
+	Hollow    InForce        `json:"hollow"` // until the settings were in force, by the balancers' word
+	Real      []InForce      `json:"real"`   // until a request of the class that is new was served, for each program
+	NotServed []StatusCounts `json:"wrong"`  // the last statuses of these requests where it never was, for each program
 
-	served []Delays
+	servedDelays []Delays
 }
 
 // Counted counts by name.
-type Counted map[string]int
+type StatusCounts map[string]int
 
 // reload writes a new version of the settings, has all read it, and waits until it is in force or within is over. The time
 // counts from when the first is told; that the files are there by then is the deliverer's.
-func (f *fleet) reload(within time.Duration) (Reload, error) {
-	if err := f.writeFiles(); err != nil {
+func (f *fleet) reload(timeout time.Duration) (Reload, error) {
+	if err := f.writeConfigurations(); err != nil {
 		return Reload{}, err
 	}
-	began := time.Now()
+	start := time.Now()
 	if err := f.hangup(); err != nil {
 		return Reload{}, err
 	}
-	told := SettingsTold{began.UnixNano(), f.hashes}
-	f.told = append(f.told, told)
-	until := began.Add(within)
-	x := Reload{served: make([]Delays, len(f.programs))}
+	delivered := SettingsDelivery{start.UnixNano(), f.fileHashes}
+	f.delivered = append(f.delivered, delivered)
+	deadline := start.Add(timeout)
+	result := Reload{servedDelays: make([]Delays, len(f.programs))}
 	for range f.programs {
-		x.Wrong = append(x.Wrong, Counted{})
+		result.NotServed = append(result.NotServed, StatusCounts{})
 	}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	for i := range f.reals {
-		n := i % len(f.programs)
-		wait.Go(func() {
-			at, status := f.traffic.probe(i, versionClass(f.version), until)
+	var wg sync.WaitGroup
+	for i := range f.realBalancers {
+		program := i % len(f.programs)
+		wg.Go(func() {
+			servedAt, status := f.traffic.awaitClass(i, versionClass(f.settingsVersion), deadline)
 			mu.Lock()
 			defer mu.Unlock()
-			if at.IsZero() {
-				x.served[n].Missing++
-				x.Wrong[n][status]++
+			if servedAt.IsZero() {
+				result.servedDelays[program].Missing++
+				result.NotServed[program][status]++
 			} else {
-				x.served[n].Micros = append(x.served[n].Micros, at.Sub(began).Microseconds())
+				result.servedDelays[program].Micros = append(result.servedDelays[program].Micros, servedAt.Sub(start).Microseconds())
 			}
 		})
 	}
 	var hollow Delays
 	var err error
 	for len(f.hollow) > 0 {
-		if hollow, err = f.delays("Hollow.SettingsSince", []SettingsTold{told}); err != nil || hollow.Missing == 0 || time.Now().After(until) {
+		if hollow, err = f.collectDelays("Hollow.SettingsSince", []SettingsDelivery{delivered}); err != nil || hollow.Missing == 0 || time.Now().After(deadline) {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	wait.Wait()
-	x.Hollow = summary(1, hollow)
-	for _, d := range x.served {
-		x.Real = append(x.Real, summary(1, d))
+	wg.Wait()
+	result.Hollow = summarize(1, hollow)
+	for _, d := range result.servedDelays {
+		result.Real = append(result.Real, summarize(1, d))
 	}
-	return x, err
+	return result, err
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -22,54 +22,54 @@
 
 // Hollow is a process's hollow balancers.
 type Hollow struct {
-	mu   sync.Mutex
-	ones map[string]*hollowOne // by the path of their configuration
+	mu        sync.Mutex
+	balancers map[string]*hollowBalancer // by the path of their configuration
 }
 
 // hollowOne is one balancer. It goes on being noted over restarts.
-type hollowOne struct {
+type hollowBalancer struct {
 	path    string
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 	control *proxy.Control // nil: it does not run
 	hangups chan os.Signal
 
-	mu       sync.Mutex
-	lists    []Made         // revisions that were in force, and when
-	settings []settingsMade // those that came into force after the start's, the newest last
+	mu              sync.Mutex
+	listsInForce    []RevisionTime // revisions that were in force, and when
+	settingsInForce []settingsTime // those that came into force after the start's, the newest last
 }
 
 // settingsMade are settings, by their file's hash, and the Unix time in ns at which they came into force.
-type settingsMade struct {
+type settingsTime struct {
 	hash string
 	at   int64
 }
 
-const settingsKept = 1024
+const maxSettingsTimes = 1024
 
 // Start starts a balancer for each path, or starts it again.
-func (h *Hollow) Start(paths []string, _ *None) error {
-	return h.each(paths, func(o *hollowOne) error {
-		if o.control != nil {
-			return fmt.Errorf("hollow: %s runs already", o.path)
+func (h *Hollow) Start(paths []string, _ *Empty) error {
+	return h.forEach(paths, func(b *hollowBalancer) error {
+		if b.control != nil {
+			return fmt.Errorf("hollow: %s runs already", b.path)
 		}
-		return o.start()
+		return b.start()
 	})
 }
 
 // Stop ends balancers at once, as a crash does.
-func (h *Hollow) Stop(paths []string, _ *None) error {
-	return h.each(paths, func(o *hollowOne) error {
-		o.stop()
+func (h *Hollow) Stop(paths []string, _ *Empty) error {
+	return h.forEach(paths, func(b *hollowBalancer) error {
+		b.stop()
 		return nil
 	})
 }
 
 // Hangup tells balancers to read their files again, as SIGHUP does. One that has not taken the last such call yet takes
 // both as one.
-func (h *Hollow) Hangup(paths []string, _ *None) error {
-	return h.each(paths, func(o *hollowOne) error {
+func (h *Hollow) Hangup(paths []string, _ *Empty) error {
+	return h.forEach(paths, func(b *hollowBalancer) error {
 		select {
-		case o.hangups <- syscall.SIGHUP:
+		case b.hangups <- syscall.SIGHUP:
 		default:
 		}
 		return nil
@@ -77,62 +77,62 @@
 }
 
 // each does something with each balancer, and makes those that were never seen.
-func (h *Hollow) each(paths []string, do func(*hollowOne) error) error {
+func (h *Hollow) forEach(paths []string, apply func(*hollowBalancer) error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ones == nil {
-		h.ones = map[string]*hollowOne{}
+	if h.balancers == nil {
+		h.balancers = map[string]*hollowBalancer{}
 	}
-	var failed []error
+	var errs []error
 	for _, path := range paths {
-		if h.ones[path] == nil {
-			h.ones[path] = &hollowOne{path: path, hangups: make(chan os.Signal, 1)}
+		if h.balancers[path] == nil {
+			h.balancers[path] = &hollowBalancer{path: path, hangups: make(chan os.Signal, 1)}
 		}
-		failed = append(failed, do(h.ones[path]))
+		errs = append(errs, apply(h.balancers[path]))
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
 
 // StopAll ends all balancers.
 func (h *Hollow) StopAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, o := range h.ones {
-		o.stop()
+	for _, b := range h.balancers {
+		b.stop()
 	}
 }
 
-func (o *hollowOne) start() error {
-	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": o.path}[name] }
+func (b *hollowBalancer) start() error {
+	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": b.path}[name] }
 	c, err := proxy.LoadConfig(getenv)
 	if err != nil {
 		return fmt.Errorf("hollow: %w", err)
 	}
 	c.ListInForce = func(revision uint64) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		o.lists = append(o.lists, Made{revision, time.Now().UnixNano()})
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.listsInForce = append(b.listsInForce, RevisionTime{revision, time.Now().UnixNano()})
 	}
 	c.SettingsInForce = func(hash string, _ time.Duration) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		if len(o.settings) >= settingsKept {
-			o.settings = append([]settingsMade(nil), o.settings[1:]...)
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		if len(b.settingsInForce) >= maxSettingsTimes {
+			b.settingsInForce = append([]settingsTime(nil), b.settingsInForce[1:]...)
 		}
-		o.settings = append(o.settings, settingsMade{hash, time.Now().UnixNano()})
+		b.settingsInForce = append(b.settingsInForce, settingsTime{hash, time.Now().UnixNano()})
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	reloads := make(chan proxy.Reload)
-	o.control, o.end = proxy.StartControl(ctx, c, reloads), end
-	go proxy.NewReloader(getenv, c).Follow(ctx, o.hangups, reloads)
+	b.control, b.cancel = proxy.StartControl(ctx, c, reloads), cancel
+	go proxy.NewReloader(getenv, c).Follow(ctx, b.hangups, reloads)
 	return nil
 }
 
-func (o *hollowOne) stop() {
-	if o.control != nil {
-		o.end()
-		o.control.Stop()
-		o.control = nil
+func (b *hollowBalancer) stop() {
+	if b.control != nil {
+		b.cancel()
+		b.control.Stop()
+		b.control = nil
 	}
 }
 
@@ -143,79 +143,79 @@
 }
 
 // Since replies with the time from each revision's making until each running balancer had it, or a newer one, in force.
-func (h *Hollow) Since(made []Made, d *Delays) error {
+func (h *Hollow) Since(revisions []RevisionTime, d *Delays) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, o := range h.ones {
-		if o.control == nil {
+	for _, b := range h.balancers {
+		if b.control == nil {
 			continue
 		}
-		o.mu.Lock()
-		at := 0
-		for _, m := range made { // both are in order of time
-			for at < len(o.lists) && o.lists[at].Revision < m.Revision {
-				at++
+		b.mu.Lock()
+		index := 0
+		for _, revision := range revisions { // both are in order of time
+			for index < len(b.listsInForce) && b.listsInForce[index].Revision < revision.Revision {
+				index++
 			}
-			if at == len(o.lists) {
+			if index == len(b.listsInForce) {
 				d.Missing++
 			} else {
-				d.Micros = append(d.Micros, max(0, o.lists[at].At-m.At)/1000)
+				d.Micros = append(d.Micros, max(0, b.listsInForce[index].At-revision.At)/1000)
 			}
 		}
-		o.mu.Unlock()
+		b.mu.Unlock()
 	}
 	return nil
 }
 
 // SettingsTold are settings that balancers were told of at a moment.
-type SettingsTold struct {
+type SettingsDelivery struct {
 	At     int64             // Unix ns
 	Hashes map[string]string // of the files, by path; of others than this process's too
 }
 
 // SettingsSince replies with the time until each of some versions of the settings, in order, or a newer one of them, was in
 // force on each running balancer: of those that come faster than they can be taken the newest counts.
-func (h *Hollow) SettingsSince(told []SettingsTold, d *Delays) error {
+func (h *Hollow) SettingsSince(deliveries []SettingsDelivery, d *Delays) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, o := range h.ones {
-		if o.control == nil {
+	for _, b := range h.balancers {
+		if b.control == nil {
 			continue
 		}
-		version := map[string]int{}
-		for i, x := range told {
-			version[x.Hashes[o.path]] = i + 1
+		versionByHash := map[string]int{}
+		for i, delivery := range deliveries {
+			versionByHash[delivery.Hashes[b.path]] = i + 1
 		}
-		o.mu.Lock()
-		for i, x := range told {
-			at := slices.IndexFunc(o.settings, func(s settingsMade) bool { return version[s.hash] > i })
+		b.mu.Lock()
+		for i, delivery := range deliveries {
+			at := slices.IndexFunc(b.settingsInForce, func(s settingsTime) bool { return versionByHash[s.hash] > i })
 			if at < 0 {
 				d.Missing++
 			} else {
-				d.Micros = append(d.Micros, max(0, o.settings[at].at-x.At)/1000)
+				d.Micros = append(d.Micros, max(0, b.settingsInForce[at].at-delivery.At)/1000)
 			}
 		}
-		o.mu.Unlock()
+		b.mu.Unlock()
 	}
 	return nil
 }
 
 // Forget drops what was noted of lists but the newest.
-func (h *Hollow) Forget(_ None, _ *None) error {
+func (h *Hollow) Forget(_ Empty, _ *Empty) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, o := range h.ones {
-		o.mu.Lock()
-		if n := len(o.lists); n > 1 {
-			o.lists = append([]Made(nil), o.lists[n-1])
+	for _, b := range h.balancers {
+		b.mu.Lock()
+		if n := len(b.listsInForce); n > 1 {
+			b.listsInForce = append([]RevisionTime(nil), b.listsInForce[n-1])
 		}
-		o.mu.Unlock()
+		b.mu.Unlock()
 	}
 	return nil
 }
 
 // Read replies with the process's usage. heap: also with the live heap, at the price of a collection.
-func (h *Hollow) Read(heap bool, u *Usage) (err error) {
-	*u, err = ownUsage(heap)
+func (h *Hollow) Read(withHeap bool, u *Usage) (err error) {
+	*u, err = ownUsage(withHeap)
 	return err
 }
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -13,9 +13,9 @@
 const (
 	// history is how many changed entries are kept for watches: a zone of 2,000 gone and back, with a release beside it. A
 	// watch from before that gets the whole list.
-	history = 8192
+	maxLoggedChanges = 8192
 	// wholeShare is the share of the list from which on changes are told as the whole list: an entry less costs no more.
-	wholeShare = 0.5
+	fullListThreshold = 0.5
 )
 
 // Member is an entry of discovery's list, in the protocol's form.
@@ -38,46 +38,46 @@
 }
 
 // Made is a revision and the Unix time in ns at which discovery had it.
-type Made struct {
+type RevisionTime struct {
 	Revision uint64 `json:"revision"`
 	At       int64  `json:"at_ns"`
 }
 
 // answer is an encoded answer and what it holds.
-type answer struct {
+type listResponse struct {
 	body     []byte
 	revision uint64
 	entries  int
-	whole    bool
+	fullList bool
 }
 
 // entry is a change: the newest state of one upstream at a revision.
-type entry struct {
+type loggedChange struct {
 	revision uint64
 	Member
 }
 
 // list is the shared list. Its methods may be called from any goroutine.
 type list struct {
-	mu       sync.Mutex
-	revision uint64
-	members  []Member
-	place    map[string]int // of an id in members
-	log      []entry        // the newest last
-	least    uint64         // the oldest revision from which on log tells all changes
-	news     chan struct{}  // closed when a newer revision is made
-	whole    *answer        // of this revision, encoded once
-	deltas   map[uint64]*answer
-	next     int // the release's next upstream in members
-	step     int // of the release at this upstream
-	made     int // upstreams that were ever made
+	mu           sync.Mutex
+	revision     uint64
+	members      []Member
+	indexByID    map[string]int // of an id in members
+	changeLog    []loggedChange // the newest last
+	minSince     uint64         // the oldest revision from which on log tells all changes
+	updated      chan struct{}  // closed when a newer revision is made
+	fullList     *listResponse  // of this revision, encoded once
+	deltas       map[uint64]*listResponse
+	releaseIndex int // the release's next upstream in members
+	releaseStep  int // of the release at this upstream
+	idsCreated   int // upstreams that were ever made
 }
 
 // newList makes n upstreams in zones zones whose addresses take turns. Revisions begin at 1.
-func newList(n, zones int, addresses []string) *list {
-	l := &list{revision: 1, least: 1, place: map[string]int{}, news: make(chan struct{}), deltas: map[uint64]*answer{}}
-	for i := range n {
-		l.put(Member{ID: l.newID(), HostPort: addresses[i%len(addresses)], Locality: zoneName(i % zones), Flavor: "m2", Cell: i % 8,
+func newList(upstreams, zones int, addresses []string) *list {
+	l := &list{revision: 1, minSince: 1, indexByID: map[string]int{}, updated: make(chan struct{}), deltas: map[uint64]*listResponse{}}
+	for i := range upstreams {
+		l.setMember(Member{ID: l.newID(), HostPort: addresses[i%len(addresses)], Locality: zoneName(i % zones), Flavor: "m2", Cell: i % 8,
 			Phase: "up", Size: 1})
 	}
 	return l
@@ -87,58 +87,58 @@
 
 // newID is an id that no upstream ever had.
 func (l *list) newID() string {
-	l.made++
-	return fmt.Sprintf("s-%08x", uint32(l.made)*2654435761) // an odd factor: 2^32 ids before one comes again
+	l.idsCreated++
+	return fmt.Sprintf("s-%08x", uint32(l.idsCreated)*2654435761) // an odd factor: 2^32 ids before one comes again
 }
 
 // put sets an entry, or takes it off the list where its phase is removed.
-func (l *list) put(m Member) {
-	at, ok := l.place[m.ID]
+func (l *list) setMember(m Member) {
+	index, ok := l.indexByID[m.ID]
 	switch {
 	case m.Phase != "removed" && !ok:
-		l.place[m.ID] = len(l.members)
+		l.indexByID[m.ID] = len(l.members)
 		l.members = append(l.members, m)
 	case m.Phase != "removed":
-		l.members[at] = m
+		l.members[index] = m
 	case ok:
 		last := len(l.members) - 1
-		l.members[at] = l.members[last]
-		l.place[l.members[at].ID] = at
+		l.members[index] = l.members[last]
+		l.indexByID[l.members[index].ID] = index
 		l.members = l.members[:last]
-		delete(l.place, m.ID)
+		delete(l.indexByID, m.ID)
 	}
 }
 
 // change makes one revision of what by returns, and wakes the watches.
-func (l *list) change(by func() []Member) Made {
+func (l *list) publish(update func() []Member) RevisionTime {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	changed := by()
+	changed := update()
 	l.revision++
 	for _, m := range changed {
-		l.put(m)
-		l.log = append(l.log, entry{l.revision, m})
+		l.setMember(m)
+		l.changeLog = append(l.changeLog, loggedChange{l.revision, m})
 	}
-	if over := len(l.log) - history; over > 0 {
-		l.least = l.log[over-1].revision
-		l.log = append([]entry(nil), l.log[over:]...)
+	if excess := len(l.changeLog) - maxLoggedChanges; excess > 0 {
+		l.minSince = l.changeLog[excess-1].revision
+		l.changeLog = append([]loggedChange(nil), l.changeLog[excess:]...)
 	}
-	l.whole = nil
+	l.fullList = nil
 	clear(l.deltas)
-	close(l.news)
-	l.news = make(chan struct{})
-	return Made{l.revision, time.Now().UnixNano()}
+	close(l.updated)
+	l.updated = make(chan struct{})
+	return RevisionTime{l.revision, time.Now().UnixNano()}
 }
 
 // release makes the next change of a release that replaces one upstream after the other: it drains, it is removed, and a
 // new one comes up in its place, cold.
-func (l *list) release() Made {
-	return l.change(func() []Member {
+func (l *list) advanceRelease() RevisionTime {
+	return l.publish(func() []Member {
 		if len(l.members) == 0 {
 			return nil
 		}
-		m := l.members[l.next%len(l.members)]
-		switch l.step++; l.step {
+		m := l.members[l.releaseIndex%len(l.members)]
+		switch l.releaseStep++; l.releaseStep {
 		case 1:
 			m.Phase = "draining"
 			return []Member{m}
@@ -147,84 +147,84 @@
 			removed.Phase = "removed"
 			return []Member{removed}
 		}
-		l.step = 0
+		l.releaseStep = 0
 		m.ID, m.Phase, m.UpSinceMS = l.newID(), "up", time.Now().UnixMilli()
-		l.next++
+		l.releaseIndex++
 		return []Member{m}
 	})
 }
 
 // remove takes up to most upstreams of a zone off the list in one revision, and returns them.
-func (l *list) remove(zone string, most int) (gone []Member, made Made) {
-	made = l.change(func() []Member {
+func (l *list) removeZone(zone string, limit int) (removed []Member, revision RevisionTime) {
+	revision = l.publish(func() []Member {
 		var changed []Member
 		for _, m := range l.members {
-			if m.Locality == zone && m.Phase == "up" && len(gone) < most {
-				gone = append(gone, m)
+			if m.Locality == zone && m.Phase == "up" && len(removed) < limit {
+				removed = append(removed, m)
 				m.Phase = "removed"
 				changed = append(changed, m)
 			}
 		}
 		return changed
 	})
-	return gone, made
+	return removed, revision
 }
 
 // restore puts upstreams back that have just started again, in one revision.
-func (l *list) restore(gone []Member) Made {
-	return l.change(func() []Member {
+func (l *list) restore(removed []Member) RevisionTime {
+	return l.publish(func() []Member {
 		now := time.Now().UnixMilli()
-		back := append([]Member(nil), gone...)
-		for i := range back {
-			back[i].Phase, back[i].UpSinceMS = "up", now
+		restored := append([]Member(nil), removed...)
+		for i := range restored {
+			restored[i].Phase, restored[i].UpSinceMS = "up", now
 		}
-		return back
+		return restored
 	})
 }
 
 // answer returns what a call with since gets, and a channel that is closed at the next change. Without a since, 0, it is
 // the whole list. Nothing newer: an answer without entries.
-func (l *list) answer(since uint64) (*answer, <-chan struct{}, error) {
+func (l *list) listResponse(since uint64) (*listResponse, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var a *answer
+	var response *listResponse
 	switch {
 	case since == l.revision:
-		a = l.deltas[since]
-	case since != 0 && since >= l.least && since < l.revision:
-		a = l.deltas[since]
+		response = l.deltas[since]
+	case since != 0 && since >= l.minSince && since < l.revision:
+		response = l.deltas[since]
 	default:
-		a = l.whole
+		response = l.fullList
 	}
-	if a != nil {
-		return a, l.news, nil
+	if response != nil {
+		return response, l.updated, nil
 	}
-	x := Listing{Revision: l.revision, Members: []Member{}}
-	if since != 0 && since >= l.least && since <= l.revision {
-		x.Members = l.since(since)
+	content := Listing{Revision: l.revision, Members: []Member{}}
+	if since != 0 && since >= l.minSince && since <= l.revision {
+		content.Members = l.since(since)
 	}
-	if x.Complete = since == 0 || since < l.least || since > l.revision || float64(len(x.Members)) > wholeShare*float64(len(l.members)); x.Complete {
-		x.Members = l.members
+	if content.Complete = since == 0 || since < l.minSince || since > l.revision || float64(len(content.Members)) > fullListThreshold*float64(len(l.members)); content.Complete {
+		content.Members = l.members
 	}
-	body, err := json.Marshal(x)
+	body, err := json.Marshal(content)
 	if err != nil {
 		return nil, nil, fmt.Errorf("encoding the list: %w", err)
 	}
-	a = &answer{body: body, revision: l.revision, entries: len(x.Members), whole: x.Complete}
-	if x.Complete {
-		l.whole = a
+	response = &listResponse{body: body, revision: l.revision, entries: len(content.Members), fullList: content.Complete}
+	if content.Complete {
+		l.fullList = response
 	}
-	if since != 0 && since >= l.least && since <= l.revision {
-		l.deltas[since] = a
+	if since != 0 && since >= l.minSince && since <= l.revision {
+		l.deltas[since] = response
 	}
-	return a, l.news, nil
+	return response, l.updated, nil
 }
 
 // since returns the newest state of each upstream that changed after a revision.
 func (l *list) since(revision uint64) []Member {
 	changed, seen := []Member{}, map[string]bool{}
-	for i := len(l.log) - 1; i >= 0 && l.log[i].revision > revision; i-- {
-		if m := l.log[i].Member; !seen[m.ID] {
+	for i := len(l.changeLog) - 1; i >= 0 && l.changeLog[i].revision > revision; i-- {
+		if m := l.changeLog[i].Member; !seen[m.ID] {
 			seen[m.ID] = true
 			changed = append(changed, m)
 		}
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -17,14 +17,14 @@
 // by procfs; whether it serves, from /healthz, as a front does.
 
 const (
-	healthEvery = 100 * time.Millisecond
-	healthMost  = time.Second
-	readyMost   = 40 * time.Second
+	healthCheckInterval = 100 * time.Millisecond
+	healthCheckTimeout  = time.Second
+	readyTimeout        = 40 * time.Second
 )
 
 // realOne is a real balancer. It keeps its name and its address over restarts.
-type realOne struct {
-	spec     Spec
+type realBalancer struct {
+	spec     BalancerSpec
 	path     string
 	program  string
 	child    *child
@@ -33,7 +33,7 @@
 }
 
 // startReal starts a balancer's process.
-func (f *fleet) startReal(r *realOne) error {
+func (f *fleet) startRealBalancer(r *realBalancer) error {
 	cmd := exec.Command(r.program)
 	tmp := filepath.Join(f.dir, "tmp-"+r.spec.Name)
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
@@ -42,12 +42,12 @@
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+r.path, "TMPDIR="+tmp)
 	r.readyAt.Store(0)
 	var err error
-	r.child, err = f.kids.start(r.spec.Name, cmd)
+	r.child, err = f.processes.start(r.spec.Name, cmd)
 	return err
 }
 
 // hangup sends a balancer SIGHUP.
-func (r *realOne) hangup() error {
+func (r *realBalancer) hangup() error {
 	if err := r.child.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return fmt.Errorf("%s: SIGHUP: %w", r.spec.Name, err)
 	}
@@ -55,38 +55,38 @@
 }
 
 // front asks a balancer's health until ctx ends, and admits it by that.
-func (r *realOne) front(ctx context.Context) {
-	client := &http.Client{Timeout: healthMost, Transport: &http.Transport{DisableKeepAlives: true}}
-	tick := time.NewTicker(healthEvery)
-	defer tick.Stop()
+func (r *realBalancer) checkHealth(ctx context.Context) {
+	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	ticker := time.NewTicker(healthCheckInterval)
+	defer ticker.Stop()
 	for {
 		resp, err := client.Get("http://" + r.spec.Listen + "/healthz")
-		well := err == nil && resp.StatusCode == http.StatusOK
+		healthy := err == nil && resp.StatusCode == http.StatusOK
 		if err == nil {
 			resp.Body.Close()
 		}
-		if well {
+		if healthy {
 			r.readyAt.CompareAndSwap(0, time.Now().UnixNano())
 		}
-		r.admitted.Store(well)
+		r.admitted.Store(healthy)
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
 // awaitReady waits until a balancer has been healthy since its start.
-func (r *realOne) awaitReady() error {
-	for began := time.Now(); r.readyAt.Load() == 0; time.Sleep(healthEvery / 5) {
+func (r *realBalancer) awaitReady() error {
+	for start := time.Now(); r.readyAt.Load() == 0; time.Sleep(healthCheckInterval / 5) {
 		select {
-		case <-r.child.ended:
+		case <-r.child.exited:
 			return fmt.Errorf("%s has ended: %v", r.spec.Name, r.child.err)
 		default:
 		}
-		if time.Since(began) > readyMost {
-			return fmt.Errorf("%s is not healthy after %v", r.spec.Name, readyMost)
+		if time.Since(start) > readyTimeout {
+			return fmt.Errorf("%s is not healthy after %v", r.spec.Name, readyTimeout)
 		}
 	}
 	return nil
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -108,32 +108,36 @@
 			return fmt.Sprintf("%.0f / %.0f / %.0f, missing %d", f.P50, f.P99, f.Last, f.Missing)
 		}
 	}
-	row("list in force, hollow: p50 / p99 / last ms", force(func(p Phase) InForce { return p.Lists }))
-	row("settings in force, hollow", force(func(p Phase) InForce { return p.Config }))
+	row("list in force, hollow: p50 / p99 / last ms", force(func(p Phase) InForce { return p.ListInForce }))
+	row("settings in force, hollow", force(func(p Phase) InForce { return p.SettingsInForce }))
 	for i, program := range x.Programs {
 		row("settings served, real, "+program, force(func(p Phase) (f InForce) {
-			if i < len(p.Served) {
-				f = p.Served[i]
+			if i < len(p.SettingsServed) {
+				f = p.SettingsServed[i]
 			}
 			return f
 		}))
 		row("new class not served, "+program, func(p Phase) string {
-			if i >= len(p.Wrong) {
+			if i >= len(p.NotServed) {
 				return "-"
 			}
-			return counted(p.Wrong[i])
+			return counted(p.NotServed[i])
 		})
 	}
-	row("hollow: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.Spent.HollowCPU) })
-	row("real: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.Spent.RealCPU) })
-	row("real: MB, the largest", func(p Phase) string { return fmt.Sprintf("%.0f", p.Spent.RealRSS) })
-	row("bytes a second in / out, a balancer", func(p Phase) string { return fmt.Sprintf("%.0f / %.0f", p.Spent.In, p.Spent.Out) })
-	row("discovery: calls/s, busiest second", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.Spent.Calls, p.Busiest.Calls) })
-	row("discovery: KB/s, busiest second", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.Spent.Written/1000, p.Busiest.Written/1000) })
-	row("discovery: us of a core a second, busiest", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.Spent.Discovery, p.Busiest.Discovery) })
-	row("discovery: whole lists, failed calls", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.Spent.Whole, p.Spent.Failed) })
+	row("hollow: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.ResourceUse.HollowCPU) })
+	row("real: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.ResourceUse.RealCPU) })
+	row("real: MB, the largest", func(p Phase) string { return fmt.Sprintf("%.0f", p.ResourceUse.RealRSS) })
+	row("bytes a second in / out, a balancer", func(p Phase) string { return fmt.Sprintf("%.0f / %.0f", p.ResourceUse.In, p.ResourceUse.Out) })
+	row("discovery: calls/s, busiest second", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.Calls, p.BusiestSecond.Calls) })
+	row("discovery: KB/s, busiest second", func(p Phase) string {
+		return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.DiscoveryOut/1000, p.BusiestSecond.DiscoveryOut/1000)
+	})
+	row("discovery: us of a core a second, busiest", func(p Phase) string {
+		return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.DiscoveryCPU, p.BusiestSecond.DiscoveryCPU)
+	})
+	row("discovery: whole lists, failed calls", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.FullLists, p.ResourceUse.Failed) })
 	row("cores: hollow, clients and upstreams, others", func(p Phase) string {
-		return fmt.Sprintf("%.2f, %.2f, %.2f", p.Spent.HollowBusy, p.Spent.Driver, p.Spent.Others)
+		return fmt.Sprintf("%.2f, %.2f, %.2f", p.ResourceUse.HollowCores, p.ResourceUse.DriverCores, p.ResourceUse.OtherCores)
 	})
 	row("clients: requests, of these moved to another balancer", func(p Phase) string {
 		return fmt.Sprintf("%d, %d", p.Clients.Requests, p.Clients.Moved)
@@ -144,11 +148,11 @@
 	})
 	for i, program := range x.Programs {
 		row("clients of "+program+": added p50 / p99 / max ms", func(p Phase) string {
-			if i >= len(p.Each) {
+			if i >= len(p.ClientsByProgram) {
 				return "-"
 			}
-			c := p.Each[i]
-			return fmt.Sprintf("%.2f / %.2f / %.0f, not served %d", c.AddedP50, c.AddedP99, c.AddedMax, c.unserved())
+			c := p.ClientsByProgram[i]
+			return fmt.Sprintf("%.2f / %.2f / %.0f, not served %d", c.AddedP50, c.AddedP99, c.AddedMax, c.notServed())
 		})
 	}
 	t.Flush()
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -51,7 +51,7 @@
 
 	options    Options
 	base       Size
-	kids       *children
+	kids       *processGroup
 	programs   []string
 	names      []string // of these
 	processors int
@@ -105,13 +105,13 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &Run{Command: strings.Join(os.Args[1:], " "), Commit: commit(), Go: runtime.Version(), Cores: runtime.NumCPU(),
-		Began: time.Now().UTC().Format(time.RFC3339), options: o, base: o.Size.over(baseSize), kids: &children{dir: dir},
+		Began: time.Now().UTC().Format(time.RFC3339), options: o, base: o.Size.over(baseSize), kids: &processGroup{dir: dir},
 		processors: runtime.GOMAXPROCS(0), log: o.Log, began: time.Now()}
 	r.Base = r.base
-	defer r.kids.endAll()
+	defer r.kids.stopAll()
 	stop := make(chan struct{})
 	defer close(stop)
-	go r.kids.watch(stop, r.giveUp)
+	go r.kids.watchMemory(stop, r.giveUp)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	defer signal.Stop(signals)
@@ -124,8 +124,8 @@
 	}()
 	err = r.all()
 	r.Seconds = time.Since(r.began).Seconds()
-	r.kids.memory()
-	r.MemoryMB = r.kids.peak >> 20
+	r.kids.memoryBytes()
+	r.MemoryMB = r.kids.peakMemoryBytes >> 20
 	return r, err
 }
 
@@ -137,8 +137,8 @@
 			*x.to = *x.from
 		}
 	}
-	if s.AskWithin > 0 {
-		base.AskWithin = s.AskWithin
+	if s.MaxDiscoveryInterval > 0 {
+		base.MaxDiscoveryInterval = s.MaxDiscoveryInterval
 	}
 	if s.Rate > 0 {
 		base.Rate = s.Rate
@@ -197,7 +197,7 @@
 			r.Left = append(r.Left, fmt.Sprintf("scene %s: %v", s.name, err))
 			continue
 		}
-		x, err := r.scene(s)
+		x, err := r.playScene(s)
 		if r.Scenes = append(r.Scenes, x); err != nil {
 			failed = append(failed, fmt.Errorf("scene %s: %w", s.name, err))
 			r.progress("%v", err)
@@ -217,7 +217,7 @@
 	r.over = why
 	r.mu.Unlock()
 	r.progress("ending: %v", why)
-	r.kids.endAll()
+	r.kids.stopAll()
 }
 
 // failure is why the run has to end; nil: it goes on.
--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -11,16 +11,16 @@
 // them. Each tells whether changes were in force everywhere in time, what discovery had to stand, and what the clients saw.
 
 const (
-	zoneAway      = 20 * time.Second // how long a zone is lost
-	afterwards    = 12 * time.Second // what is watched behind the end of an event
+	zoneOutage    = 20 * time.Second // how long a zone is lost
+	recoveryTime  = 12 * time.Second // what is watched behind the end of an event
 	busiestWindow = time.Second
-	machineAway   = 20 * time.Second
+	machineOutage = 20 * time.Second
 	lostZone      = 0
 	lostMachine   = 0
 )
 
 // sceneSize is a scene's fleet where nothing else is said: before all upstreams, with as many balancers as two cores bear.
-var sceneSize = Size{Shape: Shape{Balancers: Balancers, Upstreams: Upstreams, Zones: 7, Classes: 20, Tenants: 1000, AskWithin: 10 * time.Second},
+var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: Upstreams, Zones: 7, Classes: 20, Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
 	Hollow: 24, Real: 8, Machines: 4, Rate: 240}
 
 // Scene is what a scene has shown.
@@ -34,15 +34,15 @@
 
 // Phase is a part of a scene.
 type Phase struct {
-	Name    string    `json:"name"`
-	Lists   InForce   `json:"lists"`               // changes of the list on the hollow balancers
-	Config  InForce   `json:"settings"`            // changes of the settings on the hollow ones
-	Served  []InForce `json:"settings_served"`     // on the real ones, until the new class was served, for each program
-	Wrong   []Counted `json:"settings_not_served"` // the last statuses where it never was
-	Spent   Spent     `json:"spent"`
-	Busiest Spent     `json:"busiest_second"` // of discovery: its second with the most calls
-	Clients Seen      `json:"clients"`
-	Each    []Seen    `json:"clients_by_program"` // of the real balancer that had the request last
+	Name             string         `json:"name"`
+	ListInForce      InForce        `json:"lists"`               // changes of the list on the hollow balancers
+	SettingsInForce  InForce        `json:"settings"`            // changes of the settings on the hollow ones
+	SettingsServed   []InForce      `json:"settings_served"`     // on the real ones, until the new class was served, for each program
+	NotServed        []StatusCounts `json:"settings_not_served"` // the last statuses where it never was
+	ResourceUse      ResourceUse    `json:"spent"`
+	BusiestSecond    ResourceUse    `json:"busiest_second"` // of discovery: its second with the most calls
+	Clients          ClientStats    `json:"clients"`
+	ClientsByProgram []ClientStats  `json:"clients_by_program"` // of the real balancer that had the request last
 }
 
 // scene is a scene to play.
@@ -61,125 +61,125 @@
 }
 
 // scene plays a scene on a fleet of its own.
-func (r *Run) scene(s scene) (Scene, error) {
-	x := Scene{Name: s.name, Size: r.options.Size.over(sceneSize), Programs: r.names, Figures: map[string]float64{}}
-	r.progress("scene %s: %d hollow balancers and %d real ones before %d upstreams, %d classes, %d tenants", s.name, x.Size.Hollow,
-		x.Size.Real, x.Size.Upstreams, x.Size.Classes, x.Size.Tenants)
-	f, err := newFleet(x.Size, r.kids, r.programs...)
+func (r *Run) playScene(s scene) (Scene, error) {
+	result := Scene{Name: s.name, Size: r.options.Size.over(sceneSize), Programs: r.names, Figures: map[string]float64{}}
+	r.progress("scene %s: %d hollow balancers and %d real ones before %d upstreams, %d classes, %d tenants", s.name, result.Size.Hollow,
+		result.Size.Real, result.Size.Upstreams, result.Size.Classes, result.Size.Tenants)
+	f, err := newFleet(result.Size, r.kids, r.programs...)
 	if err != nil {
-		return x, err
+		return result, err
 	}
 	defer f.close()
-	if _, err := r.phase(f, &x, "before", func(*Phase) ([]Made, error) { return f.play(0, min(r.options.For, 10*time.Second)) }); err != nil {
-		return x, err
+	if _, err := r.measurePhase(f, &result, "before", func(*Phase) ([]RevisionTime, error) { return f.releaseAtRate(0, min(r.options.For, 10*time.Second)) }); err != nil {
+		return result, err
 	}
-	return x, s.play(r, f, &x)
+	return result, s.play(r, f, &result)
 }
 
 // phase measures what do does. Changes of the list that it returns have to be in force.
-func (r *Run) phase(f *fleet, x *Scene, name string, do func(p *Phase) ([]Made, error)) (Phase, error) {
+func (r *Run) measurePhase(f *fleet, result *Scene, name string, do func(p *Phase) ([]RevisionTime, error)) (Phase, error) {
 	p := Phase{Name: name}
-	if err := f.forget(); err != nil {
+	if err := f.forgetChanges(); err != nil {
 		return p, err
 	}
 	if f.traffic != nil {
-		f.traffic.take() // what was before
+		f.traffic.takeStats() // what was before
 	}
-	a, err := f.read(false)
+	before, err := f.readUsage(false)
 	if err != nil {
 		return p, err
 	}
-	stop, busiest := make(chan struct{}), make(chan Spent, 1)
-	go func() { busiest <- f.busiest(stop) }()
-	made, err := do(&p)
+	stop, busiestSecond := make(chan struct{}), make(chan ResourceUse, 1)
+	go func() { busiestSecond <- f.busiestSecond(stop) }()
+	revisions, err := do(&p)
 	if err == nil {
-		p.Lists, err = f.inForce(made, inForceMost)
+		p.ListInForce, err = f.awaitInForce(revisions, inForceTimeout)
 	}
 	close(stop)
-	p.Busiest = <-busiest
+	p.BusiestSecond = <-busiestSecond
 	if err != nil {
 		return p, err
 	}
-	b, err := f.read(false)
+	after, err := f.readUsage(false)
 	if err != nil {
 		return p, err
 	}
-	p.Spent = f.spent(a, b)
+	p.ResourceUse = f.resourceUse(before, after)
 	if f.traffic != nil {
-		p.Clients, p.Each = f.traffic.take()
+		p.Clients, p.ClientsByProgram = f.traffic.takeStats()
 	}
-	x.Phases = append(x.Phases, p)
+	result.Phases = append(result.Phases, p)
 	r.progress("  %s: lists in force p99 %.0f ms, last %.0f, missing %d of %d; discovery %.0f calls/s, %.0f KB/s; clients %d, not served %d, added p99 %.2f ms",
-		name, p.Lists.P99, p.Lists.Last, p.Lists.Missing, p.Lists.Changes, p.Spent.Calls, p.Spent.Written/1000, p.Clients.Requests,
-		p.Clients.unserved(), p.Clients.AddedP99)
+		name, p.ListInForce.P99, p.ListInForce.Last, p.ListInForce.Missing, p.ListInForce.Changes, p.ResourceUse.Calls, p.ResourceUse.DiscoveryOut/1000, p.Clients.Requests,
+		p.Clients.notServed(), p.Clients.AddedP99)
 	return p, r.failure()
 }
 
 // busiest is discovery's second with the most calls, until stop is closed.
-func (f *fleet) busiest(stop <-chan struct{}) Spent {
-	var most Spent
+func (f *fleet) busiestSecond(stop <-chan struct{}) ResourceUse {
+	var busiest ResourceUse
 	before, err := f.readDiscovery()
 	at := time.Now()
 	for err == nil {
 		select {
 		case <-stop:
-			return most
+			return busiest
 		case <-time.After(busiestWindow):
 		}
 		var now DiscoveryReading
 		if now, err = f.readDiscovery(); err != nil {
 			break
 		}
-		then := time.Now()
-		s := (&fleet{size: f.size}).spent(reading{at: at, discovery: before}, reading{at: then, discovery: now})
-		if s.Calls >= most.Calls {
-			most = s
+		nowAt := time.Now()
+		use := (&fleet{size: f.size}).resourceUse(usageReading{at: at, discovery: before}, usageReading{at: nowAt, discovery: now})
+		if use.Calls >= busiest.Calls {
+			busiest = use
 		}
-		before, at = now, then
+		before, at = now, nowAt
 	}
-	return most
+	return busiest
 }
 
 // playSettings changes the settings again and again. On hollow balancers a version is in force once it or a newer one is. On the real ones
 // a request of its own class has to be served before the next one comes; the last one has all the time that the users allow.
-func playSettings(r *Run, f *fleet, x *Scene) error {
-	_, err := r.phase(f, x, fmt.Sprintf("a change of the settings each %v", r.options.Every), func(p *Phase) ([]Made, error) {
-		real := make([]Delays, len(f.programs))
+func playSettings(r *Run, f *fleet, result *Scene) error {
+	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.Every), func(p *Phase) ([]RevisionTime, error) {
+		realDelays := make([]Delays, len(f.programs))
 		for range f.programs {
-			p.Wrong = append(p.Wrong, Counted{})
+			p.NotServed = append(p.NotServed, StatusCounts{})
 		}
 		changes := 0
-		for began, last := time.Now(), false; !last; changes++ {
+		for start, last := time.Now(), false; !last; changes++ {
 			next := time.Now().Add(r.options.Every)
-			last = time.Since(began)+r.options.Every >= r.options.For
-			within := r.options.Every - r.options.Every/10
+			last = time.Since(start)+r.options.Every >= r.options.For
+			timeout := r.options.Every - r.options.Every/10
 			if last { // no other follows it
-				within = inForceMost
+				timeout = inForceTimeout
 			}
-			c, err := f.reload(within)
+			change, err := f.reload(timeout)
 			if err != nil {
 				return nil, err
 			}
-			for i, d := range c.served {
-				real[i].Micros, real[i].Missing = append(real[i].Micros, d.Micros...), real[i].Missing+d.Missing
-				for status, n := range c.Wrong[i] {
-					p.Wrong[i][status] += n
+			for i, d := range change.servedDelays {
+				realDelays[i].Micros, realDelays[i].Missing = append(realDelays[i].Micros, d.Micros...), realDelays[i].Missing+d.Missing
+				for status, n := range change.NotServed[i] {
+					p.NotServed[i][status] += n
 				}
 			}
 			if !last {
 				time.Sleep(time.Until(next))
 			}
 		}
-		hollow, err := f.delays("Hollow.SettingsSince", f.told)
+		hollowDelays, err := f.collectDelays("Hollow.SettingsSince", f.delivered)
 		if err != nil {
 			return nil, err
 		}
-		p.Config = summary(changes, hollow)
-		r.progress("  settings in force on hollow ones p99 %.0f ms, last %.0f, missing %d", p.Config.P99, p.Config.Last, p.Config.Missing)
-		for i, d := range real {
-			s := summary(changes, d)
-			p.Served = append(p.Served, s)
-			r.progress("  served by real ones of program %d p99 %.0f ms, last %.0f, missing %d %v", i+1, s.P99, s.Last, s.Missing, p.Wrong[i])
+		p.SettingsInForce = summarize(changes, hollowDelays)
+		r.progress("  settings in force on hollow ones p99 %.0f ms, last %.0f, missing %d", p.SettingsInForce.P99, p.SettingsInForce.Last, p.SettingsInForce.Missing)
+		for i, d := range realDelays {
+			s := summarize(changes, d)
+			p.SettingsServed = append(p.SettingsServed, s)
+			r.progress("  served by real ones of program %d p99 %.0f ms, last %.0f, missing %d %v", i+1, s.P99, s.Last, s.Missing, p.NotServed[i])
 		}
 		return nil, nil
 	})
@@ -187,170 +187,170 @@
 }
 
 // playZone loses a zone with its balancers and upstreams, and gets it back, cold.
-func playZone(r *Run, f *fleet, x *Scene) error {
+func playZone(r *Run, f *fleet, result *Scene) error {
 	zone := Zone{Name: zoneName(lostZone)}
-	hollow := f.pathsOf(func(s Spec) bool { return s.Zone == zone.Name })
-	var reals []*realOne
-	for _, one := range f.reals {
-		if one.spec.Zone == zone.Name {
-			reals = append(reals, one)
+	paths := f.selectPaths(func(s BalancerSpec) bool { return s.Zone == zone.Name })
+	var realBalancers []*realBalancer
+	for _, b := range f.realBalancers {
+		if b.spec.Zone == zone.Name {
+			realBalancers = append(realBalancers, b)
 		}
 	}
-	x.Figures["balancers lost"] = float64(len(slices.Concat(hollow...)) + len(reals))
-	_, err := r.phase(f, x, "zone lost", func(*Phase) ([]Made, error) {
-		f.upstreams.down(lostZone)
-		for _, one := range reals {
-			one.child.cmd.Process.Kill()
+	result.Figures["balancers lost"] = float64(len(slices.Concat(paths...)) + len(realBalancers))
+	_, err := r.measurePhase(f, result, "zone lost", func(*Phase) ([]RevisionTime, error) {
+		f.upstreamServers.stopZone(lostZone)
+		for _, b := range realBalancers {
+			b.child.cmd.Process.Kill()
 		}
-		if err := f.tell("Hollow.Stop", hollow); err != nil {
+		if err := f.callHollow("Hollow.Stop", paths); err != nil {
 			return nil, err
 		}
-		var made Made
-		if err := f.discovery.call("Discovery.Lose", zone, &made); err != nil {
+		var revision RevisionTime
+		if err := f.discovery.call("Discovery.Lose", zone, &revision); err != nil {
 			return nil, err
 		}
-		time.Sleep(zoneAway)
-		return []Made{made}, nil
+		time.Sleep(zoneOutage)
+		return []RevisionTime{revision}, nil
 	})
 	if err != nil {
 		return err
 	}
-	_, err = r.phase(f, x, "zone back, cold", func(*Phase) ([]Made, error) {
-		if err := f.upstreams.up(lostZone); err != nil {
+	_, err = r.measurePhase(f, result, "zone back, cold", func(*Phase) ([]RevisionTime, error) {
+		if err := f.upstreamServers.startZone(lostZone); err != nil {
 			return nil, err
 		}
-		var made Made
-		if err := f.discovery.call("Discovery.Regain", zone, &made); err != nil {
+		var revision RevisionTime
+		if err := f.discovery.call("Discovery.Regain", zone, &revision); err != nil {
 			return nil, err
 		}
-		for _, one := range reals {
-			f.kids.end(one.child)
-			if err := f.startReal(one); err != nil {
+		for _, b := range realBalancers {
+			f.processes.stop(b.child)
+			if err := f.startRealBalancer(b); err != nil {
 				return nil, err
 			}
 		}
-		if err := f.tell("Hollow.Start", hollow); err != nil {
+		if err := f.callHollow("Hollow.Start", paths); err != nil {
 			return nil, err
 		}
-		time.Sleep(afterwards)
-		return []Made{made}, nil
+		time.Sleep(recoveryTime)
+		return []RevisionTime{revision}, nil
 	})
 	return err
 }
 
 // playRestart restarts a tenth of the fleet at once while a change is made.
-func playRestart(r *Run, f *fleet, x *Scene) error {
+func playRestart(r *Run, f *fleet, result *Scene) error {
 	n := 0
-	hollow := f.pathsOf(func(Spec) bool { n++; return n%10 == 1 })
-	reals := f.reals[:(len(f.reals)+9)/10]
-	x.Figures["balancers restarted"] = float64(len(slices.Concat(hollow...)) + len(reals))
-	_, err := r.phase(f, x, "a tenth restarted at once", func(*Phase) ([]Made, error) {
-		for _, one := range reals {
-			one.child.cmd.Process.Signal(syscall.SIGTERM)
+	paths := f.selectPaths(func(BalancerSpec) bool { n++; return n%10 == 1 })
+	realBalancers := f.realBalancers[:(len(f.realBalancers)+9)/10]
+	result.Figures["balancers restarted"] = float64(len(slices.Concat(paths...)) + len(realBalancers))
+	_, err := r.measurePhase(f, result, "a tenth restarted at once", func(*Phase) ([]RevisionTime, error) {
+		for _, b := range realBalancers {
+			b.child.cmd.Process.Signal(syscall.SIGTERM)
 		}
-		if err := f.tell("Hollow.Stop", hollow); err != nil {
+		if err := f.callHollow("Hollow.Stop", paths); err != nil {
 			return nil, err
 		}
-		began := time.Now()
-		for _, one := range reals {
-			f.kids.end(one.child)
-			if err := f.startReal(one); err != nil {
+		start := time.Now()
+		for _, b := range realBalancers {
+			f.processes.stop(b.child)
+			if err := f.startRealBalancer(b); err != nil {
 				return nil, err
 			}
 		}
-		if err := f.tell("Hollow.Start", hollow); err != nil {
+		if err := f.callHollow("Hollow.Start", paths); err != nil {
 			return nil, err
 		}
-		var made Made
-		if err := f.discovery.call("Discovery.Release", None{}, &made); err != nil {
+		var revision RevisionTime
+		if err := f.discovery.call("Discovery.Release", Empty{}, &revision); err != nil {
 			return nil, err
 		}
-		for _, one := range reals {
-			if err := one.awaitReady(); err != nil {
+		for _, b := range realBalancers {
+			if err := b.awaitReady(); err != nil {
 				return nil, err
 			}
-			x.Figures["last real one ready, s"] = max(x.Figures["last real one ready, s"], time.Unix(0, one.readyAt.Load()).Sub(began).Seconds())
+			result.Figures["last real one ready, s"] = max(result.Figures["last real one ready, s"], time.Unix(0, b.readyAt.Load()).Sub(start).Seconds())
 		}
-		time.Sleep(afterwards)
-		return []Made{made}, nil
+		time.Sleep(recoveryTime)
+		return []RevisionTime{revision}, nil
 	})
 	return err
 }
 
 // playMachine loses one machine of discovery while the list changes, and gets it back.
-func playMachine(r *Run, f *fleet, x *Scene) error {
-	x.Figures["balancers at the machine"] = float64(len(slices.Concat(f.pathsOf(func(s Spec) bool { return s.Discovery == f.addresses[lostMachine] })...)))
-	set := func(m Mode) error {
-		return f.discovery.call("Discovery.Set", MachineMode{lostMachine, m}, &None{})
+func playMachine(r *Run, f *fleet, result *Scene) error {
+	result.Figures["balancers at the machine"] = float64(len(slices.Concat(f.selectPaths(func(s BalancerSpec) bool { return s.Discovery == f.addresses[lostMachine] })...)))
+	setMode := func(mode Mode) error {
+		return f.discovery.call("Discovery.Set", MachineMode{lostMachine, mode}, &Empty{})
 	}
-	if _, err := r.phase(f, x, "one machine of discovery silent", func(*Phase) ([]Made, error) {
-		if err := set(ModeSilent); err != nil {
+	if _, err := r.measurePhase(f, result, "one machine of discovery silent", func(*Phase) ([]RevisionTime, error) {
+		if err := setMode(ModeSilent); err != nil {
 			return nil, err
 		}
-		return f.play(1, machineAway)
+		return f.releaseAtRate(1, machineOutage)
 	}); err != nil {
 		return err
 	}
-	_, err := r.phase(f, x, "the machine back", func(*Phase) ([]Made, error) {
-		if err := set(ModeUp); err != nil {
+	_, err := r.measurePhase(f, result, "the machine back", func(*Phase) ([]RevisionTime, error) {
+		if err := setMode(ModeUp); err != nil {
 			return nil, err
 		}
-		return f.play(1, afterwards)
+		return f.releaseAtRate(1, recoveryTime)
 	})
 	return err
 }
 
 // playCut cuts discovery off, and gets it back with a change that was made meanwhile.
-func playCut(r *Run, f *fleet, x *Scene) error {
-	set := func(m Mode) error {
+func playCut(r *Run, f *fleet, result *Scene) error {
+	setMode := func(mode Mode) error {
 		for i := range f.addresses {
-			if err := f.discovery.call("Discovery.Set", MachineMode{i, m}, &None{}); err != nil {
+			if err := f.discovery.call("Discovery.Set", MachineMode{i, mode}, &Empty{}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if _, err := r.phase(f, x, fmt.Sprintf("discovery cut off for %v", r.options.Cut), func(*Phase) ([]Made, error) {
-		if err := set(ModeSilent); err != nil {
+	if _, err := r.measurePhase(f, result, fmt.Sprintf("discovery cut off for %v", r.options.Cut), func(*Phase) ([]RevisionTime, error) {
+		if err := setMode(ModeSilent); err != nil {
 			return nil, err
 		}
-		_, err := f.play(1, r.options.Cut)
+		_, err := f.releaseAtRate(1, r.options.Cut)
 		return nil, err
 	}); err != nil {
 		return err
 	}
-	_, err := r.phase(f, x, "discovery back", func(*Phase) ([]Made, error) {
-		if err := set(ModeUp); err != nil {
+	_, err := r.measurePhase(f, result, "discovery back", func(*Phase) ([]RevisionTime, error) {
+		if err := setMode(ModeUp); err != nil {
 			return nil, err
 		}
-		var made Made
-		if err := f.discovery.call("Discovery.Release", None{}, &made); err != nil {
+		var revision RevisionTime
+		if err := f.discovery.call("Discovery.Release", Empty{}, &revision); err != nil {
 			return nil, err
 		}
-		time.Sleep(afterwards)
-		return []Made{made}, nil
+		time.Sleep(recoveryTime)
+		return []RevisionTime{revision}, nil
 	})
 	return err
 }
 
 // pathsOf are the files of the hollow balancers that which picks, by process.
-func (f *fleet) pathsOf(which func(Spec) bool) [][]string {
-	picked := make([][]string, len(f.paths))
-	for i, paths := range f.paths {
-		for _, path := range paths {
-			if which(f.specs[path]) {
-				picked[i] = append(picked[i], path)
+func (f *fleet) selectPaths(matches func(BalancerSpec) bool) [][]string {
+	selected := make([][]string, len(f.hollowPaths))
+	for i, hollowPaths := range f.hollowPaths {
+		for _, path := range hollowPaths {
+			if matches(f.specs[path]) {
+				selected[i] = append(selected[i], path)
 			}
 		}
 	}
-	return picked
+	return selected
 }
 
 // tell calls a method of each hollow process with its part of paths.
-func (f *fleet) tell(method string, paths [][]string) error {
+func (f *fleet) callHollow(method string, paths [][]string) error {
 	for i, c := range f.hollow {
 		if len(paths[i]) > 0 {
-			if err := c.call(method, paths[i], &None{}); err != nil {
+			if err := c.call(method, paths[i], &Empty{}); err != nil {
 				return err
 			}
 		}
--- a/internal/scale/soak.go
+++ b/internal/scale/soak.go
@@ -67,11 +67,11 @@
 	began     time.Time
 	dir       string
 	program   string
-	kids      *children
+	kids      *processGroup
 	listener  *os.File // that processes inherit; nil: each listens itself
 	listen    string
 	list      *list
-	counts    counters
+	counts    discoveryCounters
 	machines  []*machine
 	machine   int // that the configuration names
 	version   int
@@ -88,11 +88,11 @@
 // Soak plays one seed against a program of the balancer, with files in dir.
 func Soak(program string, seed uint64, dir string) (SoakResult, error) {
 	s := &soak{SoakResult: SoakResult{Seed: seed}, rng: rand.New(rand.NewPCG(seed, 0)), began: time.Now(), dir: dir, program: program,
-		kids: &children{dir: dir}, ledger: &soakLedger{runs: map[string][]*soakRun{}}, announced: map[int]time.Time{}}
-	defer s.kids.endAll()
+		kids: &processGroup{dir: dir}, ledger: &soakLedger{runs: map[string][]*soakRun{}}, announced: map[int]time.Time{}}
+	defer s.kids.stopAll()
 	err := s.play()
 	for _, m := range s.machines {
-		m.set(ModeDown)
+		m.setMode(ModeDown)
 	}
 	for _, u := range s.upstreams {
 		u.server.Close()
@@ -196,11 +196,11 @@
 
 // configure puts the configuration as it stands in place.
 func (s *soak) configure() error {
-	x, err := newSettings(Shape{Balancers: 1, Classes: len(soakKinds) + 1, AskWithin: 10 * time.Second}, s.version, s.list.listing())
+	x, err := newSettingsTemplate(FleetDimensions{Balancers: 1, Classes: len(soakKinds) + 1, MaxDiscoveryInterval: 10 * time.Second}, s.version, s.list.listing())
 	if err != nil {
 		return err
 	}
-	_, err = x.write(s.config(), Spec{Name: "b0", Listen: s.listen, Discovery: s.machines[s.machine].address, Zone: zoneName(0),
+	_, err = x.write(s.config(), BalancerSpec{Name: "b0", Listen: s.listen, Discovery: s.machines[s.machine].address, Zone: zoneName(0),
 		MemoryMB: 128})
 	return err
 }
@@ -233,7 +233,7 @@
 			return p, nil
 		}
 		select {
-		case <-c.ended:
+		case <-c.exited:
 			return nil, fmt.Errorf("the balancer has ended before it was ready: %w", c.err)
 		default:
 		}
@@ -299,11 +299,11 @@
 		s.tell("discovery is away for a moment")
 		s.outage = true
 		m := s.machines[s.machine]
-		if err := m.set(ModeDown); err != nil {
+		if err := m.setMode(ModeDown); err != nil {
 			return err
 		}
 		time.Sleep(time.Duration(s.rng.Int64N(int64(soakEventMost))))
-		return m.set(ModeUp)
+		return m.setMode(ModeUp)
 	case 5:
 		s.tell("out of service for a moment")
 		from := time.Now()
@@ -322,7 +322,7 @@
 	before := s.machines[s.machine]
 	s.machine = 1 - s.machine
 	next := s.machines[s.machine]
-	if err := next.set(ModeUp); err != nil {
+	if err := next.setMode(ModeUp); err != nil {
 		return err
 	}
 	if err := s.configure(); err != nil {
@@ -330,7 +330,7 @@
 	}
 	s.signal(p, syscall.SIGHUP)
 	time.Sleep(soakMoveGrace)
-	return before.set(ModeDown)
+	return before.setMode(ModeDown)
 }
 
 // drain has an upstream drain until the end, once it has been announced. Half of them always serve.
@@ -340,7 +340,7 @@
 		return
 	}
 	s.tell("upstream %d drains", i)
-	s.list.change(func() []Member {
+	s.list.publish(func() []Member {
 		for _, m := range s.list.members {
 			if m.HostPort == s.upstreams[i].address {
 				m.Phase = "draining"
@@ -371,14 +371,14 @@
 		s.tell("out of service in that moment: %v", p.call(http.MethodPut, "/control/out-of-service"))
 	}
 	select {
-	case <-p.child.ended:
+	case <-p.child.exited:
 		s.tell("process %d has ended: %v", p.child.cmd.Process.Pid, p.child.err)
 		if p.child.err != nil {
 			s.fault("crash", "", "process %d: %v", p.child.cmd.Process.Pid, p.child.err)
 		}
 	case <-time.After(time.Until(p.termAt.Add(soakKillAfter))):
 		s.signal(p, syscall.SIGKILL)
-		<-p.child.ended
+		<-p.child.exited
 	}
 }
 
--- a/internal/scale/vary.go
+++ b/internal/scale/vary.go
@@ -29,7 +29,7 @@
 }
 
 // baseSize is what is held where nothing else is said.
-var baseSize = Size{Shape: Shape{Balancers: Balancers, Upstreams: 1000, Zones: 7, Classes: 20, Tenants: 100, AskWithin: 10 * time.Second},
+var baseSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: 1000, Zones: 7, Classes: 20, Tenants: 100, MaxDiscoveryInterval: 10 * time.Second},
 	Hollow: 40, Machines: 4, Rate: 240}
 
 // releaseRate is the changes a second of a release that replaces all upstreams within an hour: three for each.
@@ -53,14 +53,14 @@
 
 // Point is what was measured at one point of a slope.
 type Point struct {
-	X       float64 `json:"x"`
-	Size    Size    `json:"size"`
-	Start   float64 `json:"start_cpu_ms"` // processor time of a hollow balancer's start, until the fleet had settled
-	Rest    Spent   `json:"rest"`
-	Changes float64 `json:"changes_per_s"`
-	Busy    Spent   `json:"busy"` // while the list changed
-	InForce InForce `json:"in_force"`
-	PerList float64 `json:"cpu_us_per_change"` // of a hollow balancer, over what it spends at rest
+	X       float64     `json:"x"`
+	Size    Size        `json:"size"`
+	Start   float64     `json:"start_cpu_ms"` // processor time of a hollow balancer's start, until the fleet had settled
+	Rest    ResourceUse `json:"rest"`
+	Changes float64     `json:"changes_per_s"`
+	Busy    ResourceUse `json:"busy"` // while the list changed
+	InForce InForce     `json:"in_force"`
+	PerList float64     `json:"cpu_us_per_change"` // of a hollow balancer, over what it spends at rest
 	// Reloads are the settings' changes. ReloadCPU is a hollow balancer's processor time for one, over what it spends at rest.
 	Reloads   []Reload `json:"reloads,omitempty"`
 	ReloadCPU float64  `json:"reload_cpu_ms"`
@@ -95,43 +95,43 @@
 	if err := r.failure(); err != nil {
 		return p, err
 	}
-	settled, err := f.read(true)
+	settled, err := f.readUsage(true)
 	if err != nil {
 		return p, err
 	}
 	for _, u := range settled.hollow {
-		p.Start += micros(u.CPU) / 1000 / float64(p.Size.Hollow)
+		p.Start += microseconds(u.CPU) / 1000 / float64(p.Size.Hollow)
 	}
-	a, err := f.read(false) // without the collection before
+	a, err := f.readUsage(false) // without the collection before
 	if err != nil {
 		return p, err
 	}
-	if _, err = f.play(0, span); err != nil {
+	if _, err = f.releaseAtRate(0, span); err != nil {
 		return p, err
 	}
-	b, err := f.read(true)
+	b, err := f.readUsage(true)
 	if err != nil {
 		return p, err
 	}
-	p.Rest = f.spent(a, b)
-	if a, err = f.read(false); err != nil {
+	p.Rest = f.resourceUse(a, b)
+	if a, err = f.readUsage(false); err != nil {
 		return p, err
 	}
-	made, err := f.play(p.Changes, span)
+	made, err := f.releaseAtRate(p.Changes, span)
 	if err != nil {
 		return p, err
 	}
-	if p.InForce, err = f.inForce(made, inForceMost); err != nil {
+	if p.InForce, err = f.awaitInForce(made, inForceTimeout); err != nil {
 		return p, err
 	}
-	if b, err = f.read(true); err != nil {
+	if b, err = f.readUsage(true); err != nil {
 		return p, err
 	}
-	p.Busy = f.spent(a, b)
+	p.Busy = f.resourceUse(a, b)
 	if n := float64(len(made)); n > 0 {
 		p.PerList = (p.Busy.HollowCPU - p.Rest.HollowCPU) * p.Busy.Seconds / n
 	}
-	busy := func(s Spent) float64 { return s.HollowBusy + s.Discovery/1e6 + s.Driver + s.Others }
+	busy := func(s ResourceUse) float64 { return s.HollowCores + s.DiscoveryCPU/1e6 + s.DriverCores + s.OtherCores }
 	p.Loaded = max(busy(p.Rest), busy(p.Busy)) > busyMost*float64(r.processors)
 	if v.burst && x == v.x[len(v.x)-1] {
 		for _, b := range []struct{ name, method string }{{"a zone lost", "Discovery.Lose"}, {"the zone back, cold", "Discovery.Regain"}} {
@@ -148,29 +148,29 @@
 
 // burst measures what a zone costs that goes or comes back at once.
 func (r *Run) burst(f *fleet, p *Point, name, method string) error {
-	if err := f.settle(); err != nil {
+	if err := f.awaitSettled(); err != nil {
 		return err
 	}
-	a, err := f.read(false)
+	a, err := f.readUsage(false)
 	if err != nil {
 		return err
 	}
-	var made Made
+	var made RevisionTime
 	if err := f.discovery.call(method, Zone{Name: zoneName(lostZone)}, &made); err != nil {
 		return err
 	}
 	b := Burst{Name: name}
-	if b.InForce, err = f.inForce([]Made{made}, inForceMost); err != nil {
+	if b.InForce, err = f.awaitInForce([]RevisionTime{made}, inForceTimeout); err != nil {
 		return err
 	}
-	if err := f.settle(); err != nil {
+	if err := f.awaitSettled(); err != nil {
 		return err
 	}
-	c, err := f.read(false)
+	c, err := f.readUsage(false)
 	if err != nil {
 		return err
 	}
-	s := f.spent(a, c)
+	s := f.resourceUse(a, c)
 	b.CPU, b.In = (s.HollowCPU-p.Rest.HollowCPU)*s.Seconds/1000, s.In*s.Seconds/1000
 	p.Bursts = append(p.Bursts, b)
 	return r.failure()
@@ -179,7 +179,7 @@
 // reloads changes the settings some times and measures what each costs.
 func (r *Run) reloads(f *fleet, p *Point) error {
 	for range reloadsPerPoint {
-		a, err := f.read(false)
+		a, err := f.readUsage(false)
 		if err != nil {
 			return err
 		}
@@ -187,11 +187,11 @@
 		if err != nil {
 			return err
 		}
-		b, err := f.read(false)
+		b, err := f.readUsage(false)
 		if err != nil {
 			return err
 		}
-		s := f.spent(a, b)
+		s := f.resourceUse(a, b)
 		p.Reloads = append(p.Reloads, x)
 		p.ReloadCPU += (s.HollowCPU - p.Rest.HollowCPU) * s.Seconds / 1000 / reloadsPerPoint
 	}
@@ -233,10 +233,10 @@
 	{"change in force, p50", "ms", false, func(p Point) float64 { return p.InForce.P50 }},
 	{"change in force, p99", "ms", false, func(p Point) float64 { return p.InForce.P99 }},
 	{"change in force, the last balancer", "ms", false, func(p Point) float64 { return p.InForce.Last }},
-	{"discovery's processor time while the list changes", "us of a core a second", false, func(p Point) float64 { return p.Busy.Discovery }},
+	{"discovery's processor time while the list changes", "us of a core a second", false, func(p Point) float64 { return p.Busy.DiscoveryCPU }},
 	{"discovery's calls while the list changes", "calls/s", false, func(p Point) float64 { return p.Busy.Calls }},
-	{"discovery's bytes out while the list changes", "B/s", false, func(p Point) float64 { return p.Busy.Written }},
-	{"cores that others used", "cores", false, func(p Point) float64 { return p.Busy.Others }},
+	{"discovery's bytes out while the list changes", "B/s", false, func(p Point) float64 { return p.Busy.DiscoveryOut }},
+	{"cores that others used", "cores", false, func(p Point) float64 { return p.Busy.OtherCores }},
 	{"a change of the settings", "ms of a core", true, func(p Point) float64 { return p.ReloadCPU }},
 }
 
