--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// This file starts the run's other processes, calls them over their standard input and output (a line of JSON for each call
-// and each reply), watches the memory of all together, and ends them, each by the id it was started with.
+// This file starts the child processes of a run, calls them by JSON-RPC over their standard input and output,
+// limits their total memory and stops them.
 
-// The roles of a child process.
+// Roles of a child process that runs this program.
 const (
 	RoleDiscovery = "discovery"
 	RoleHollow    = "hollow"
@@ -25,20 +25,22 @@
 
 const (
 	maxChildren = 300
-	// memoryMost is what all processes of a run may hold together, bytes: half of a machine of 24 GB.
+	// maxRunMemoryBytes limits the resident memory of all processes of a run together: half of a machine with
+	// 24 GB.
 	maxRunMemoryBytes   = 12 << 30
 	memoryCheckInterval = time.Second
-	childCallTimeout    = 2 * time.Minute // that a child may take over a call
+	childCallTimeout    = 2 * time.Minute
 	childStopTimeout    = 10 * time.Second
 )
 
-// stdio is a child's side of the calls.
+// stdioConn is the child's end of the RPC connection.
 type stdioConn struct {
 	io.ReadCloser
 	io.Writer
 }
 
-// ServeRole serves a child's calls on standard input and output until the input ends.
+// ServeRole serves RPC calls for a role on standard input and output until the input ends. An unknown role is
+// an error.
 func ServeRole(role string) error {
 	s := rpc.NewServer()
 	var err error
@@ -52,7 +54,7 @@
 		defer h.StopAll()
 		err = s.Register(h)
 	default:
-		err = fmt.Errorf("role %q is unknown", role)
+		err = fmt.Errorf("unknown role %q", role)
 	}
 	if err != nil {
 		return err
@@ -61,16 +63,16 @@
 	return nil
 }
 
-// child is a process that the run has started.
+// child is a process started by the run.
 type child struct {
 	name      string
 	cmd       *exec.Cmd
-	rpcClient *rpc.Client // nil: it takes none
-	exited    chan struct{}
-	err       error // of its end, once ended is closed
+	rpcClient *rpc.Client   // nil if the process serves no RPC
+	exited    chan struct{} // closed when the process has exited
+	err       error         // result of Wait; valid once exited is closed
 }
 
-// call calls a method of a child and waits for the reply.
+// call calls an RPC method of the child and waits for the reply, at most childCallTimeout.
 func (c *child) call(method string, args, reply any) error {
 	select {
 	case done := <-c.rpcClient.Go(method, args, reply, make(chan *rpc.Call, 1)).Done:
@@ -79,23 +81,23 @@
 		}
 		return nil
 	case <-c.exited:
-		return fmt.Errorf("%s: %s: the process has ended: %v", c.name, method, c.err)
+		return fmt.Errorf("%s: %s: process exited: %v", c.name, method, c.err)
 	case <-time.After(childCallTimeout):
-		return fmt.Errorf("%s: %s: no reply in %v", c.name, method, childCallTimeout)
+		return fmt.Errorf("%s: %s: no reply within %v", c.name, method, childCallTimeout)
 	}
 }
 
-// children are the processes of a run.
+// processGroup holds the child processes of a run. Its methods may be called from any goroutine.
 type processGroup struct {
-	dir string // for their logs
+	dir string // log files and fleet directories
 
 	mu              sync.Mutex
 	children        []*child
 	logCount        int
-	peakMemoryBytes int64 // memory of all together, bytes
+	peakMemoryBytes int64 // highest result of memoryBytes
 }
 
-// role starts this program in a role.
+// startRole starts this program in a role and connects to its RPC service.
 func (p *processGroup) startRole(role, name string) (*child, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -121,12 +123,13 @@
 	return c, nil
 }
 
-// start starts a process. Its standard error goes into a file of its own, unless it is set already.
+// start starts cmd as a child. Standard error goes to a new log file unless cmd has set it. It is an error if
+// there are maxChildren children already.
 func (p *processGroup) start(name string, cmd *exec.Cmd) (*child, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.children) >= maxChildren {
-		return nil, fmt.Errorf("starting %s: %d processes are the most", name, maxChildren)
+		return nil, fmt.Errorf("starting %s: limit of %d processes reached", name, maxChildren)
 	}
 	var logFile *os.File
 	if cmd.Stderr == nil {
@@ -138,7 +141,7 @@
 		defer logFile.Close()
 		cmd.Stderr = logFile
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the run
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // children are killed if the run dies
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
@@ -151,7 +154,8 @@
 	return c, nil
 }
 
-// end ends a process: its input is closed, or it gets SIGTERM; SIGKILL if that does not do.
+// stop stops a child by closing its RPC connection or, without one, by SIGTERM, and by SIGKILL after
+// childStopTimeout. It returns when the process has exited.
 func (p *processGroup) stop(c *child) {
 	if c.rpcClient != nil {
 		c.rpcClient.Close()
@@ -174,7 +178,7 @@
 	}
 }
 
-// endAll ends all processes.
+// stopAll stops all children at the same time.
 func (p *processGroup) stopAll() {
 	p.mu.Lock()
 	children := append([]*child(nil), p.children...)
@@ -186,7 +190,8 @@
 	wg.Wait()
 }
 
-// memory is what all processes of the run hold, this one included. Pages that they share count for each.
+// memoryBytes returns the resident memory of all processes of the run, including this one, and records the
+// peak. Shared pages count once for each process.
 func (p *processGroup) memoryBytes() int64 {
 	p.mu.Lock()
 	pids := []int{os.Getpid()}
@@ -196,7 +201,7 @@
 	p.mu.Unlock()
 	var sum int64
 	for _, pid := range pids {
-		if u, err := processUsage(pid); err == nil { // one that has just ended holds none
+		if u, err := processUsage(pid); err == nil { // a process that has just exited uses none
 			sum += u.RSS
 		}
 	}
@@ -206,9 +211,10 @@
 	return sum
 }
 
-var errMemoryLimit = errors.New("the run holds more memory than it may")
+var errMemoryLimit = errors.New("memory limit of the run exceeded")
 
-// watch looks after the memory until stop is closed. Over the bound it calls over, once.
+// watchMemory checks the memory until stop is closed. When the limit is exceeded it calls onExceeded once and
+// returns.
 func (p *processGroup) watchMemory(stop <-chan struct{}, onExceeded func(error)) {
 	ticker := time.NewTicker(memoryCheckInterval)
 	defer ticker.Stop()
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -12,54 +12,56 @@
 	"time"
 )
 
-// This file is a stand-in for the discovery service, by the protocol's page: whole lists, watches that wait, changes,
-// revisions. One to four machines are addresses that share one list. It counts calls, watches, entries and bytes on its
-// connections. Its processor time is its process's, so it stands for discovery's own only in a process of its own.
+// This file is a stand-in for the discovery service. It serves full lists, watches and changes by revision on
+// one to four machines, each an address of its own, which share one list, and counts calls, watches, entries
+// and bytes. Its processor time is read for the whole process, so it has to run in a separate process for
+// that to be meaningful.
 
 const (
 	maxMachines = 4
-	// turnPatience is how long a call may wait for its turn. Then it fails, as the real service's do.
+	// A call that would wait longer than maxQueueDelay for earlier calls fails, as with the real service.
 	maxQueueDelay   = 2 * time.Second
-	maxWatchTimeout = 60 * time.Second // that a watch may ask for
+	maxWatchTimeout = 60 * time.Second // upper bound of a watch's timeout_ms
 )
 
-// Mode is what a machine does with calls.
+// Mode is how a machine handles calls.
 type Mode string
 
-// The modes. A machine that was down or silent comes up with the list as it stands by then.
+// Modes of a machine. A machine that comes up again serves the current list.
 const (
 	ModeUp     Mode = "up"
-	ModeDown   Mode = "down"   // connections are reset, new ones refused
-	ModeSilent Mode = "silent" // connections stay open and nothing comes on them
+	ModeDown   Mode = "down"   // open connections are reset, new ones are refused
+	ModeSilent Mode = "silent" // connections are accepted and stay open without responses
 )
 
-// Costs are what a call takes of its machine. Calls wait for each other; the time passes, no processor is used for it.
+// Costs are the simulated service times of a call. A machine serves one call at a time. The delay is waited
+// out and uses no processor time.
 type Costs struct {
 	Call  time.Duration `json:"call_ns"`
-	Entry time.Duration `json:"entry_ns"` // for each entry of the answer
+	Entry time.Duration `json:"entry_ns"` // added for each entry of the response
 }
 
-// Counts are what a discovery was asked and told since its start, over all machines.
+// Counts are totals over all machines since the start of discovery.
 type Counts struct {
-	Calls     int64 `json:"calls"`    // answered or failed
-	Watches   int64 `json:"watches"`  // of these, with a since
-	Updates   int64 `json:"news"`     // watches that were answered with something newer
-	FullLists int64 `json:"whole"`    // whole lists written
-	Failed    int64 `json:"failed"`   // refused for their turn, or cut by a machine that went
-	Entries   int64 `json:"entries"`  // written
-	BodyBytes int64 `json:"body"`     // bytes of answers that hold entries, without heads
-	BytesIn   int64 `json:"bytes_in"` // on the connections
-	BytesOut  int64 `json:"bytes_out"`
-	Waiting   int64 `json:"waiting"` // watches that wait now
-}
-
-// sub is what came since an earlier reading.
+	Calls     int64 `json:"calls"`     // answered or failed calls
+	Watches   int64 `json:"watches"`   // calls with a since parameter
+	Updates   int64 `json:"news"`      // watches answered with a newer revision
+	FullLists int64 `json:"whole"`     // full lists sent
+	Failed    int64 `json:"failed"`    // calls refused or aborted
+	Entries   int64 `json:"entries"`   // list entries sent
+	BodyBytes int64 `json:"body"`      // body bytes of responses with entries
+	BytesIn   int64 `json:"bytes_in"`  // received on connections, including headers
+	BytesOut  int64 `json:"bytes_out"` // sent on connections, including headers
+	Waiting   int64 `json:"waiting"`   // watches that are waiting now
+}
+
+// sub returns the difference to the earlier counts b. Waiting is a current value and stays that of c.
 func (c Counts) sub(b Counts) Counts {
 	return Counts{c.Calls - b.Calls, c.Watches - b.Watches, c.Updates - b.Updates, c.FullLists - b.FullLists, c.Failed - b.Failed,
 		c.Entries - b.Entries, c.BodyBytes - b.BodyBytes, c.BytesIn - b.BytesIn, c.BytesOut - b.BytesOut, c.Waiting}
 }
 
-// counters are Counts as they are counted.
+// discoveryCounters are the counters read into Counts.
 type discoveryCounters struct {
 	calls, watches, updates, fullList, failed, entries, body, bytesIn, bytesOut, waiting atomic.Int64
 }
@@ -69,7 +71,7 @@
 		c.bytesIn.Load(), c.bytesOut.Load(), c.waiting.Load()}
 }
 
-// machine is one of discovery's addresses.
+// machine serves the shared list at one address of discovery.
 type machine struct {
 	list    *list
 	counts  *discoveryCounters
@@ -78,21 +80,21 @@
 	mu         sync.Mutex
 	mode       Mode
 	costs      Costs
-	busyUntil  time.Time // the turns taken so far are over by then
+	busyUntil  time.Time // end of the service times reserved so far
 	server     *http.Server
-	modeCtx    context.Context // ends when the mode changes
+	modeCtx    context.Context // cancelled by mode changes, except from up to silent
 	cancelMode context.CancelFunc
 
-	waiting atomic.Int64 // watches that wait here
+	waiting atomic.Int64 // watches that are waiting at this machine
 }
 
-// newMachine is up at address; port 0 takes any.
+// newMachine returns a machine that listens at address. Port 0 selects a free port.
 func newMachine(l *list, c *discoveryCounters, address string, costs Costs) (*machine, error) {
 	m := &machine{list: l, counts: c, address: address, costs: costs, mode: ModeDown}
 	return m, m.setMode(ModeUp)
 }
 
-// set changes what the machine does.
+// setMode changes the mode of the machine. Setting the current mode has no effect.
 func (m *machine) setMode(mode Mode) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,9 +104,9 @@
 	switch mode {
 	case ModeUp, ModeSilent, ModeDown:
 	default:
-		return fmt.Errorf("mode %q is unknown", mode)
+		return fmt.Errorf("unknown mode %q", mode)
 	}
-	if m.mode != ModeUp || mode != ModeSilent { // calls that wait when it falls silent stay, and hear nothing
+	if m.mode != ModeUp || mode != ModeSilent { // calls in progress stay open when the machine becomes silent
 		if m.cancelMode != nil {
 			m.cancelMode()
 		}
@@ -129,7 +131,8 @@
 	return nil
 }
 
-// turn takes a call's place in the row and returns when it ends; false: that is too late.
+// reserveTurn queues a call behind the earlier ones and returns the end of its service time. It returns false
+// if the call would wait longer than maxQueueDelay.
 func (m *machine) reserveTurn(a *listResponse) (until time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,14 +147,14 @@
 	return m.busyUntil, true
 }
 
-// silent tells whether the machine says nothing.
+// isSilent reports whether the machine is in ModeSilent.
 func (m *machine) isSilent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.mode == ModeSilent
 }
 
-// ServeHTTP answers a call of the list.
+// ServeHTTP answers a call for the list.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	m.mu.Lock()
 	modeCtx := m.modeCtx
@@ -187,15 +190,15 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.Write(a.body) // who has gone asks again
+	w.Write(a.body) // on an error the caller repeats the call
 }
 
 var (
-	errCallAborted  = errors.New("discovery: the machine or the caller has gone")
+	errCallAborted  = errors.New("discovery: call aborted by a mode change or by the caller")
 	errQueueTooLong = errors.New("discovery: too many calls wait")
 )
 
-// ask is a call's answer, once it has come and had its turn.
+// prepareResponse returns the response to a call after the watch and the simulated service time.
 func (m *machine) prepareResponse(ctx context.Context, r *http.Request) (*listResponse, error) {
 	q := r.URL.Query()
 	if r.URL.Path != "/v1/servers" || r.Method != http.MethodGet {
@@ -236,7 +239,8 @@
 	return a, nil
 }
 
-// await waits until there is something newer than since, or wait is over.
+// awaitNewer returns the response for since. If since is the current revision it waits for a newer one, at
+// most for timeout.
 func (m *machine) awaitNewer(ctx context.Context, since uint64, timeout time.Duration) (*listResponse, error) {
 	a, updated, err := m.list.listResponse(since)
 	if err != nil || since == 0 || a.revision != since || timeout == 0 {
@@ -259,7 +263,7 @@
 	return a, err
 }
 
-// countedListener counts the bytes of its connections.
+// countingListener counts the bytes of the connections it accepts.
 type countingListener struct {
 	net.Listener
 	counts *discoveryCounters
@@ -273,6 +277,7 @@
 	return &countingConn{c, l.counts}, nil
 }
 
+// countingConn adds the bytes it reads and writes to counts.
 type countingConn struct {
 	net.Conn
 	counts *discoveryCounters
@@ -290,37 +295,38 @@
 	return n, err
 }
 
-// Discovery is the stand-in's control: its methods are called in the process, or by a driver over standard input and output
-// (see child.go).
+// Discovery controls the stand-in discovery service. Its methods are called directly or by net/rpc under
+// their names (see child.go).
 type Discovery struct {
 	list       *list
 	counts     discoveryCounters
 	machines   []*machine
-	lostByZone map[string][]Member // of zones that are lost
-	mu         sync.Mutex          // over away
+	lostByZone map[string][]Member // upstreams removed by Lose, by zone
+	mu         sync.Mutex          // guards lostByZone
 }
 
-// DiscoveryStart says what a discovery begins with.
+// DiscoveryConfig configures a discovery service.
 type DiscoveryConfig struct {
 	Machines  int
 	Upstreams int
 	Zones     int
-	Addresses []string // of upstreams, host:port, which take turns
+	Addresses []string // of upstreams, host:port, assigned in rotation
 	Costs     Costs
 }
 
-// None is the argument or reply of a call that has none.
+// Empty is the argument or reply of an RPC method without one.
 type Empty struct{}
 
-// Start makes the list and the machines, and replies with their addresses.
+// Start creates the list and the machines, and replies with the addresses of the machines. It can be called
+// once.
 func (d *Discovery) Start(config DiscoveryConfig, addresses *[]string) error {
 	switch {
 	case config.Machines < 1 || config.Machines > maxMachines:
-		return fmt.Errorf("discovery: %d machines, 1 to %d are allowed", config.Machines, maxMachines)
+		return fmt.Errorf("discovery: %d machines, want 1 to %d", config.Machines, maxMachines)
 	case config.Zones < 1 || len(config.Addresses) == 0:
-		return errors.New("discovery: a list needs zones and addresses")
+		return errors.New("discovery: at least one zone and one address are required")
 	case d.list != nil:
-		return errors.New("discovery: started already")
+		return errors.New("discovery: already started")
 	}
 	d.list, d.lostByZone = newList(config.Upstreams, config.Zones, config.Addresses), map[string][]Member{}
 	for range config.Machines {
@@ -334,32 +340,32 @@
 	return nil
 }
 
-// Stop ends all machines.
+// Stop shuts all machines down.
 func (d *Discovery) Stop() {
 	for _, m := range d.machines {
-		m.setMode(ModeDown) // down always works
+		m.setMode(ModeDown) // ModeDown never fails
 	}
 }
 
-// Listing replies with the whole list.
+// Listing replies with the full list.
 func (d *Discovery) Listing(_ Empty, reply *Listing) error {
 	*reply = d.list.listing()
 	return nil
 }
 
-// Release makes the next change of a release.
+// Release makes the next change of a rolling release and replies with its revision.
 func (d *Discovery) Release(_ Empty, reply *RevisionTime) error {
 	*reply = d.list.advanceRelease()
 	return nil
 }
 
-// Zone names a zone's upstreams.
+// Zone selects upstreams of a zone.
 type Zone struct {
 	Name         string
-	MaxUpstreams int // upstreams at most; 0: all
+	MaxUpstreams int // 0: all
 }
 
-// Lose takes a zone's upstreams off the list at once.
+// Lose removes upstreams of a zone from the list in one revision.
 func (d *Discovery) Lose(z Zone, reply *RevisionTime) error {
 	if z.MaxUpstreams == 0 {
 		z.MaxUpstreams = len(d.list.listing().Members)
@@ -372,7 +378,7 @@
 	return nil
 }
 
-// Regain puts what a zone has lost back, freshly started.
+// Regain restores the upstreams of a zone that Lose has removed, with the current time as their start time.
 func (d *Discovery) Regain(z Zone, reply *RevisionTime) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -381,21 +387,21 @@
 	return nil
 }
 
-// MachineMode names a machine and what it is to do.
+// MachineMode is a machine, by index, and its new mode.
 type MachineMode struct {
 	Machine int
 	Mode    Mode
 }
 
-// Set changes what a machine does.
+// Set changes the mode of a machine.
 func (d *Discovery) Set(request MachineMode, _ *Empty) error {
 	if request.Machine < 0 || request.Machine >= len(d.machines) {
-		return fmt.Errorf("discovery: no machine %d", request.Machine)
+		return fmt.Errorf("discovery: machine %d does not exist", request.Machine)
 	}
 	return d.machines[request.Machine].setMode(request.Mode)
 }
 
-// Cost changes what calls cost, on all machines: a slow discovery has dear ones.
+// Cost changes the simulated service times of all machines.
 func (d *Discovery) Cost(c Costs, _ *Empty) error {
 	for _, m := range d.machines {
 		m.mu.Lock()
@@ -405,13 +411,13 @@
 	return nil
 }
 
-// DiscoveryReading is what discovery has done and used.
+// DiscoveryReading holds the counts of discovery and the resource usage of its process.
 type DiscoveryReading struct {
 	Counts
 	Usage
 }
 
-// Read replies with the counts and the process's usage.
+// Read replies with the counts and the usage of this process.
 func (d *Discovery) Read(_ Empty, reply *DiscoveryReading) (err error) {
 	reply.Counts = d.counts.snapshot()
 	reply.Usage, err = ownUsage(false)
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -15,19 +15,20 @@
 	"time"
 )
 
-// standIn is a discovery of one machine with n upstreams.
+// startDiscovery starts a discovery with one machine and n upstreams and returns the URL of its list.
 func startDiscovery(t *testing.T, n int, costs Costs) (*Discovery, string) {
 	t.Helper()
 	d := &Discovery{}
 	var addresses []string
-	if err := d.Start(DiscoveryConfig{Machines: 1, Upstreams: n, Zones: 2, Addresses: []string{"127.0.0.1:1"}, Costs: costs}, &addresses); err != nil {
+	if err := d.Start(DiscoveryConfig{Machines: 1, Upstreams: n, Zones: 2, Addresses: []string{"127.0.0.1:1"},
+		Costs: costs}, &addresses); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Stop)
 	return d, "http://" + addresses[0] + "/v1/servers"
 }
 
-// get makes a call and returns the list, or the status where it is none.
+// getListing calls url and returns the list and the status. The list is empty unless the status is 200.
 func getListing(url string) (Listing, int, error) {
 	var list Listing
 	resp, err := http.Get(url)
@@ -46,10 +47,11 @@
 	d, url := startDiscovery(t, 10, Costs{})
 	full, _, err := getListing(url)
 	if err != nil || !full.Complete || full.Revision != 1 || len(full.Members) != 10 {
-		t.Fatalf("whole list: %v, %+v", err, full)
+		t.Fatalf("full list: %v, %+v", err, full)
 	}
-	if list, _, err := getListing(url + "?since=1&timeout_ms=1"); err != nil || list.Complete || list.Revision != 1 || list.Members == nil || len(list.Members) != 0 {
-		t.Errorf("a watch without news: %v, %+v; want no entries", err, list)
+	if list, _, err := getListing(url + "?since=1&timeout_ms=1"); err != nil || list.Complete || list.Revision != 1 ||
+		list.Members == nil || len(list.Members) != 0 {
+		t.Errorf("watch without a newer revision: %v, %+v; want no entries", err, list)
 	}
 	received := make(chan Listing, 1)
 	go func() {
@@ -62,29 +64,29 @@
 	var revision RevisionTime
 	d.Release(Empty{}, &revision)
 	if list := <-received; list.Complete || list.Revision != 2 || len(list.Members) != 1 || list.Members[0].Phase != "draining" {
-		t.Errorf("a watch that waited: %+v; want one that drains", list)
+		t.Errorf("waiting watch: %+v; want one draining upstream", list)
 	}
 	d.Release(Empty{}, &revision)
 	d.Release(Empty{}, &revision)
 	list, _, err := getListing(url + "?since=1&timeout_ms=60000")
 	if err != nil || list.Revision != 4 || len(list.Members) != 2 || list.Members[0].Phase != "up" || list.Members[1].Phase != "removed" {
-		t.Errorf("three changes of two upstreams: %v, %+v; want the newest state of each", err, list)
+		t.Errorf("after three changes of two upstreams: %v, %+v; want the newest state of each", err, list)
 	}
 	if list, _, _ := getListing(url + "?since=99&timeout_ms=1"); !list.Complete {
-		t.Errorf("a revision that never was: %+v; want the whole list", list)
+		t.Errorf("unknown revision: %+v; want the full list", list)
 	}
 	for range maxLoggedChanges + 1 {
 		d.Release(Empty{}, &revision)
 	}
 	if list, _, _ := getListing(url + "?since=2&timeout_ms=1"); !list.Complete || len(list.Members) != 9 && len(list.Members) != 10 {
-		t.Errorf("a revision from before what is kept: %+v; want the whole list", list)
+		t.Errorf("revision older than the change log: %+v; want the full list", list)
 	}
 	if _, status, _ := getListing(url + "?since=x&timeout_ms=1"); status != http.StatusBadRequest {
-		t.Errorf("a since that is no number: status %d", status)
+		t.Errorf("invalid since: status %d, want 400", status)
 	}
 }
 
-// Calls wait for their turn, and one that would wait too long fails.
+// Calls are served one after another, and a call that would wait longer than maxQueueDelay gets 503.
 func TestDiscoveryServesCallsInTurn(t *testing.T) {
 	d, url := startDiscovery(t, 2, Costs{})
 	m := d.machines[0]
@@ -93,15 +95,16 @@
 	second, ok2 := m.reserveTurn(&listResponse{entries: 0})
 	third, ok3 := m.reserveTurn(&listResponse{entries: 1})
 	if !ok || !ok2 || !ok3 || second.Sub(first) != time.Second || third.Sub(second) != 11*time.Second {
-		t.Errorf("turns end %v and %v after the first", second.Sub(first), third.Sub(first))
+		t.Errorf("service times %v and %v, want 1s and 11s", second.Sub(first), third.Sub(first))
 	}
 	if _, status, err := getListing(url); err != nil || status != http.StatusServiceUnavailable {
-		t.Errorf("a call behind 13 s of others: %d, %v; want 503", status, err)
+		t.Errorf("call behind 13 s of earlier calls: status %d, %v; want 503", status, err)
 	}
 	want(t, "failed", d.counts.failed.Load(), 1)
 }
 
-// Down, a machine refuses and resets; silent, it says nothing on what is open until it is back, and resets that then.
+// A machine that goes down resets its connections and refuses new ones. A silent machine keeps connections
+// open without responses and resets them when it comes up.
 func TestDiscoveryMachineModes(t *testing.T) {
 	d, url := startDiscovery(t, 2, Costs{})
 	set := func(m Mode) {
@@ -124,16 +127,16 @@
 	ended := watch()
 	set(ModeDown)
 	if err := <-ended; err == nil {
-		t.Error("a watch outlived its machine")
+		t.Error("a watch was answered after its machine went down")
 	}
 	if _, _, err := getListing(url); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a call while it is down: %v; want it refused", err)
+		t.Errorf("call to a machine that is down: %v; want connection refused", err)
 	}
 	set(ModeUp)
 	ended = watch()
 	set(ModeSilent)
 	var revision RevisionTime
-	d.Release(Empty{}, &revision) // what a machine that says nothing knows is not told
+	d.Release(Empty{}, &revision) // must not be reported by the silent machine
 	for d.counts.waiting.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -145,19 +148,19 @@
 	fmt.Fprintf(c, "GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")
 	select {
 	case err := <-ended:
-		t.Errorf("a watch of a silent machine ended: %v", err)
+		t.Errorf("watch of a silent machine ended: %v", err)
 	default:
 	}
 	set(ModeUp)
 	if err := <-ended; err == nil {
-		t.Error("a watch was answered that its machine had left")
+		t.Error("a watch from before the silent mode was answered")
 	}
 	if x, _, err := getListing(url); err != nil || x.Revision != 2 {
-		t.Errorf("back: %v, %+v; want revision 2", err, x)
+		t.Errorf("call after the machine is up again: %v, %+v; want revision 2", err, x)
 	}
 }
 
-// The operators' two programs hold nothing of the scale run, and nothing that is not this module's or the standard library's.
+// The programs for operators depend only on the standard library and on this module, without the scale test.
 func TestProgramsDoNotDependOnScale(t *testing.T) {
 	cmd := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", "./cmd/olivearch", "./cmd/clayladder-sim")
 	cmd.Dir = filepath.Join("..", "..")
@@ -171,7 +174,7 @@
 	}
 	for _, p := range packages {
 		if p != "garnettide" && !strings.HasPrefix(p, "garnettide/") || strings.HasPrefix(p, "garnettide/internal/scale") {
-			t.Errorf("the programs hold %s", p)
+			t.Errorf("the programs depend on %s", p)
 		}
 	}
 }
--- a/internal/scale/files.go
+++ b/internal/scale/files.go
@@ -9,20 +9,21 @@
 	"time"
 )
 
-// This file writes the balancers' configuration files, as the page on deployment describes them. A version of the settings
-// differs from the one before in a class of its own name and in one tenant's quota; the rest is the same.
+// This file writes the configuration files of balancers. Versions of the settings differ in the name of one
+// class and in the quota of one tenant.
 
-// Shape is the size of a fleet. Where fewer balancers run than the fleet has, they are spread over its ranks.
+// FleetDimensions are the sizes that the settings and the list of upstreams describe. If fewer balancers run
+// than Balancers, their ranks are spread evenly.
 type FleetDimensions struct {
-	Balancers            int           `json:"balancers"` // that the settings name
+	Balancers            int           `json:"balancers"` // as set in the settings
 	Upstreams            int           `json:"upstreams"`
 	Zones                int           `json:"zones"`
 	Classes              int           `json:"classes"`
 	Tenants              int           `json:"tenants"`
-	MaxDiscoveryInterval time.Duration `json:"ask_within_ns"`
+	MaxDiscoveryInterval time.Duration `json:"ask_within_ns"` // ask_within_us of the settings
 }
 
-// Spec is what differs from one balancer to the next.
+// BalancerSpec holds the parts of a configuration that are specific to one balancer.
 type BalancerSpec struct {
 	Name      string
 	Listen    string
@@ -32,16 +33,17 @@
 	MemoryMB  int
 }
 
-// settings are a version of the settings, but for zone and rank, and the list that balancers know at their start.
+// settingsTemplate holds the encoded parts of a configuration that all balancers share: one version of the
+// settings, without zone and rank, and the list of upstreams known at the start.
 type settingsTemplate struct {
 	shared []byte
 	known  []byte
 }
 
-// versionClass is the name of the class that a version alone has.
+// versionClass returns the name of the class that only this version of the settings has.
 func versionClass(version int) string { return fmt.Sprintf("v%d", version) }
 
-// newSettings renders a version.
+// newSettingsTemplate encodes a version of the settings.
 func newSettingsTemplate(dimensions FleetDimensions, version int, known Listing) (*settingsTemplate, error) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `"balancers":%d,"granularity_us":1000,"membership_mode":"on_request","weights":"nominal","worth_by":"work",`,
@@ -74,8 +76,8 @@
 	return &settingsTemplate{shared: b.Bytes(), known: encoded}, nil
 }
 
-// write puts a balancer's file in place whole: who reads it finds the old one or the new one. It returns the file's hash, as
-// balancers tell it.
+// write atomically replaces the configuration file of a balancer and returns its hash in the form that
+// balancers report.
 func (s *settingsTemplate) write(path string, spec BalancerSpec) (hash string, err error) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1,"memory_mb":%d,"sockets":1024},"known":`,
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -14,47 +14,47 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file puts a fleet together: a discovery, hollow balancers, real ones with upstreams and clients. It reads what all of
-// them have used between two moments, for each balancer, and how long changes took to be in force.
+// This file runs a fleet of discovery, hollow balancers and real balancers with upstreams and clients. It
+// measures the resources that the fleet uses and how long changes take to be in force.
 
-// Size is the size of a fleet as it is run, beside the one that its settings name.
+// Size is what runs in a fleet, together with the dimensions that its settings describe.
 type Size struct {
 	FleetDimensions
-	Hollow   int     `json:"hollow"`
-	Real     int     `json:"real"`
-	Machines int     `json:"machines"` // of discovery
+	Hollow   int     `json:"hollow"`   // hollow balancers
+	Real     int     `json:"real"`     // real balancers
+	Machines int     `json:"machines"` // machines of discovery
 	Costs    Costs   `json:"costs"`    // of a call to discovery
-	Rate     float64 `json:"rate"`     // requests a second to the real balancers together
+	Rate     float64 `json:"rate"`     // requests per second to all real balancers together
 }
 
 const (
-	hollowPerProcess = 200 // hollow balancers in one process
+	hollowPerProcess = 200 // hollow balancers in one process, at most
 	settleTimeout    = 90 * time.Second
-	inForceTimeout   = 11 * time.Second // the users' figure
-	balancerMemoryMB = 256              // the users' figure, told to balancers as their limit
+	inForceTimeout   = 11 * time.Second // required time until a change is in force everywhere
+	balancerMemoryMB = 256              // required memory limit of a balancer
 )
 
 // fleet is a running fleet.
 type fleet struct {
 	size            Size
-	dir             string   // of its files
-	programs        []string // the real balancers', which take turns
+	dir             string   // configuration files and temporary directories
+	programs        []string // of the real balancers, assigned in rotation
 	processes       *processGroup
 	discovery       *child
-	addresses       []string // of discovery's machines
-	hollow          []*child
-	hollowPaths     [][]string // of the hollow ones' files, by process
-	specs           map[string]BalancerSpec
+	addresses       []string                // of the machines of discovery
+	hollow          []*child                // processes of hollow balancers
+	hollowPaths     [][]string              // configuration files of the hollow balancers by process
+	specs           map[string]BalancerSpec // by path of the configuration file
 	realBalancers   []*realBalancer
 	upstreamServers *upstreamServers
-	traffic         *traffic
-	settingsVersion int                // of the settings
-	fileHashes      map[string]string  // of the files of this version
-	delivered       []SettingsDelivery // the versions that balancers were told of since the last forget
-	stop            context.CancelFunc
+	traffic         *traffic           // nil without real balancers
+	settingsVersion int                // last version written
+	fileHashes      map[string]string  // hashes of the configuration files of this version, by path
+	delivered       []SettingsDelivery // versions delivered since the last forgetChanges
+	stop            context.CancelFunc // ends health checks and client requests
 }
 
-// newFleet starts a fleet and waits until it has settled. Where it fails, what it has started is ended.
+// newFleet starts a fleet and waits until it has settled. If it fails, it stops what it has started.
 func newFleet(size Size, processes *processGroup, programs ...string) (f *fleet, err error) {
 	f = &fleet{size: size, processes: processes, programs: programs, specs: map[string]BalancerSpec{}}
 	ctx, stop := context.WithCancel(context.Background())
@@ -65,7 +65,7 @@
 		}
 	}()
 	if f.dir, err = os.MkdirTemp(processes.dir, "fleet-"); err != nil {
-		return f, fmt.Errorf("a fleet's files: %w", err)
+		return f, fmt.Errorf("creating the directory of a fleet: %w", err)
 	}
 	if f.upstreamServers, err = newUpstreamServers(size.Zones); err != nil {
 		return f, err
@@ -111,7 +111,8 @@
 	return f, f.awaitSettled()
 }
 
-// name gives each balancer a name, a rank and a machine of discovery. Ranks are spread over those that the settings name.
+// assignSpecs gives each balancer a name, a zone, a machine of discovery and a rank. Ranks are spread over
+// those of the settings.
 func (f *fleet) assignSpecs() error {
 	total := f.size.Hollow + f.size.Real
 	for i := range total {
@@ -123,7 +124,8 @@
 			if s.Listen, err = freeAddress(); err != nil {
 				return err
 			}
-			f.realBalancers = append(f.realBalancers, &realBalancer{spec: s, path: path, program: f.programs[len(f.realBalancers)%len(f.programs)]})
+			f.realBalancers = append(f.realBalancers, &realBalancer{spec: s, path: path,
+				program: f.programs[len(f.realBalancers)%len(f.programs)]})
 		} else {
 			if i%hollowPerProcess == 0 {
 				f.hollowPaths = append(f.hollowPaths, nil)
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// writeFiles writes the next version of the settings for all balancers.
+// writeConfigurations writes the next version of the settings for all balancers.
 func (f *fleet) writeConfigurations() error {
 	var known Listing
 	if err := f.discovery.call("Discovery.Listing", Empty{}, &known); err != nil {
@@ -155,7 +157,7 @@
 	return nil
 }
 
-// hangup has all balancers read their files again.
+// hangup has all balancers read their configuration files again.
 func (f *fleet) hangup() error {
 	for i, c := range f.hollow {
 		if err := c.call("Hollow.Hangup", f.hollowPaths[i], &Empty{}); err != nil {
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// settle waits until each balancer waits in a watch of the newest revision.
+// awaitSettled waits until each balancer waits in a watch, so that it has the current revision.
 func (f *fleet) awaitSettled() error {
 	want := int64(f.size.Hollow + f.size.Real)
 	for start := time.Now(); ; time.Sleep(50 * time.Millisecond) {
@@ -182,11 +184,12 @@
 			return nil
 		}
 		if time.Since(start) > settleTimeout {
-			return fmt.Errorf("after %v %d of %d balancers wait in a watch", settleTimeout, r.Waiting, want)
+			return fmt.Errorf("after %v, %d of %d balancers wait in a watch", settleTimeout, r.Waiting, want)
 		}
 	}
 }
 
+// close stops the fleet and removes its files.
 func (f *fleet) close() {
 	f.stop()
 	for _, r := range f.realBalancers {
@@ -203,20 +206,20 @@
 		f.upstreamServers.close()
 	}
 	if err := os.RemoveAll(f.dir); err != nil {
-		slog.Warn("a fleet's files stay", "err", err)
+		slog.Warn("removing the directory of a fleet failed", "err", err)
 	}
 }
 
-// --- What it uses ---
+// --- Resource usage ---
 
-// reading is what all have used at a moment.
+// usageReading is the usage of all parts of a fleet at one time.
 type usageReading struct {
 	at          time.Time
 	discovery   DiscoveryReading
-	hollow      []Usage
-	real        []Usage
-	driver      Usage         // of the run's own process, with the clients and the upstreams
-	busyTime    time.Duration // that the processors which the run may use were busy, with whatever
+	hollow      []Usage       // by process
+	real        []Usage       // by balancer; zero if it has exited
+	driver      Usage         // the process of the run itself, with clients and upstreams
+	busyTime    time.Duration // total busy time of the processors available to the run
 	memoryBytes int64
 }
 
@@ -226,16 +229,17 @@
 	return r, err
 }
 
-// read reads all. heap: with the hollow ones' live heap.
+// readUsage reads the usage of all parts. With withHeap it includes the live heap of hollow balancers.
 func (f *fleet) readUsage(withHeap bool) (usageReading, error) {
-	result := usageReading{hollow: make([]Usage, len(f.hollow)), real: make([]Usage, len(f.realBalancers)), memoryBytes: f.processes.memoryBytes()}
+	result := usageReading{hollow: make([]Usage, len(f.hollow)), real: make([]Usage, len(f.realBalancers)),
+		memoryBytes: f.processes.memoryBytes()}
 	var errs []error
 	for i, c := range f.hollow {
 		errs = append(errs, c.call("Hollow.Read", withHeap, &result.hollow[i]))
 	}
 	for i, r := range f.realBalancers {
 		select {
-		case <-r.child.exited: // with its zone: nothing is read
+		case <-r.child.exited: // stopped with its zone
 			continue
 		default:
 		}
@@ -253,41 +257,45 @@
 	return result, errors.Join(append(errs, err)...)
 }
 
-// Spent is what was spent between two readings. Figures of balancers are for one balancer.
+// ResourceUse is the resource use between two readings. Figures of balancers are for one balancer, on
+// average, unless stated otherwise.
 type ResourceUse struct {
 	Seconds float64 `json:"seconds"`
 
-	HollowCPU    float64 `json:"hollow_cpu_us_per_s"`    // µs of processor time a second, for one hollow balancer
-	HollowCores  float64 `json:"hollow_cores"`           // processors that the hollow processes kept busy together
-	RealCPU      float64 `json:"real_cpu_us_per_s"`      // for one real one, its clients' requests included
-	HollowRSS    float64 `json:"hollow_rss_mb"`          // the process's, divided
-	HollowHeap   float64 `json:"hollow_heap_mb"`         // live, divided; 0: not read
-	RealRSS      float64 `json:"real_rss_mb"`            // the largest
-	In           float64 `json:"in_bytes_per_s"`         // from discovery, for one balancer, with heads
-	Out          float64 `json:"out_bytes_per_s"`        // to discovery
-	DiscoveryCPU float64 `json:"discovery_cpu_us_per_s"` // of all its machines, in one process
-	Calls        float64 `json:"calls_per_s"`
-	Updates      float64 `json:"news_per_s"`
+	HollowCPU    float64 `json:"hollow_cpu_us_per_s"`    // processor time in µs per second, for one hollow balancer
+	HollowCores  float64 `json:"hollow_cores"`           // processors used by all hollow balancers together
+	RealCPU      float64 `json:"real_cpu_us_per_s"`      // for one real balancer, including the requests of clients
+	HollowRSS    float64 `json:"hollow_rss_mb"`          // resident memory of the processes divided by the balancers
+	HollowHeap   float64 `json:"hollow_heap_mb"`         // live heap divided by the balancers; 0: not read
+	RealRSS      float64 `json:"real_rss_mb"`            // the largest of the real balancers
+	In           float64 `json:"in_bytes_per_s"`         // from discovery to one balancer, including headers
+	Out          float64 `json:"out_bytes_per_s"`        // from one balancer to discovery, including headers
+	DiscoveryCPU float64 `json:"discovery_cpu_us_per_s"` // all machines, which share one process
+	Calls        float64 `json:"calls_per_s"`            // to discovery
+	Updates      float64 `json:"news_per_s"`             // watches answered with a newer revision
 	FullLists    float64 `json:"whole_lists"`
 	Failed       float64 `json:"failed_calls"`
 	DiscoveryOut float64 `json:"discovery_out_bytes_per_s"`
 	DiscoveryRSS float64 `json:"discovery_rss_mb"`
-	Memory       float64 `json:"memory_mb"` // of all processes
-	// Driver is what the run's own process used, clients and upstreams with it. Others is what was used by no process of the
-	// run, on the processors that it may use, in processors: where it is not small, times are too long.
+	Memory       float64 `json:"memory_mb"` // resident memory of all processes
+	// DriverCores is the use of the run's own process, with clients and upstreams. OtherCores is the use of
+	// the processors available to the run by other processes; if it is not small, measured times are too
+	// long.
 	DriverCores float64 `json:"driver_cores"`
 	OtherCores  float64 `json:"others_cores"`
 }
 
 const bytesPerMB = 1 << 20
 
-// spent is what was spent from a to b.
+// resourceUse returns the resource use between two readings.
 func (f *fleet) resourceUse(before, after usageReading) ResourceUse {
 	counts, seconds := after.discovery.Counts.sub(before.discovery.Counts), after.at.Sub(before.at).Seconds()
 	balancers := float64(f.size.Hollow + f.size.Real)
-	use := ResourceUse{Seconds: seconds, In: float64(counts.BytesOut) / seconds / balancers, Out: float64(counts.BytesIn) / seconds / balancers,
-		DiscoveryCPU: microseconds(after.discovery.CPU-before.discovery.CPU) / seconds, Calls: float64(counts.Calls) / seconds, Updates: float64(counts.Updates) / seconds, FullLists: float64(counts.FullLists),
-		Failed: float64(counts.Failed), DiscoveryOut: float64(counts.BytesOut) / seconds, DiscoveryRSS: float64(after.discovery.RSS) / bytesPerMB, Memory: float64(after.memoryBytes) / bytesPerMB}
+	use := ResourceUse{Seconds: seconds, In: float64(counts.BytesOut) / seconds / balancers,
+		Out: float64(counts.BytesIn) / seconds / balancers, DiscoveryCPU: microseconds(after.discovery.CPU-before.discovery.CPU) / seconds,
+		Calls: float64(counts.Calls) / seconds, Updates: float64(counts.Updates) / seconds, FullLists: float64(counts.FullLists),
+		Failed: float64(counts.Failed), DiscoveryOut: float64(counts.BytesOut) / seconds,
+		DiscoveryRSS: float64(after.discovery.RSS) / bytesPerMB, Memory: float64(after.memoryBytes) / bytesPerMB}
 	for i := range after.hollow {
 		use.HollowCPU += microseconds(after.hollow[i].CPU-before.hollow[i].CPU) / seconds
 		use.HollowRSS += float64(after.hollow[i].RSS) / bytesPerMB
@@ -299,44 +307,45 @@
 	}
 	counted, realCPU := 0.0, 0.0
 	for i := range after.real {
-		if used := after.real[i].CPU - before.real[i].CPU; used >= 0 { // a restarted one begins anew
+		if used := after.real[i].CPU - before.real[i].CPU; used >= 0 { // negative if the balancer was restarted
 			realCPU, counted = realCPU+microseconds(used)/seconds, counted+1
 		}
 		use.RealRSS = max(use.RealRSS, float64(after.real[i].RSS)/bytesPerMB)
 	}
 	use.RealCPU = realCPU / max(counted, 1)
 	use.DriverCores = microseconds(after.driver.CPU-before.driver.CPU) / seconds / 1e6
-	use.OtherCores = max(0, microseconds(after.busyTime-before.busyTime)/seconds/1e6-use.DriverCores-use.HollowCores-(use.DiscoveryCPU+realCPU)/1e6)
+	use.OtherCores = max(0, microseconds(after.busyTime-before.busyTime)/seconds/1e6-use.DriverCores-use.HollowCores-
+		(use.DiscoveryCPU+realCPU)/1e6)
 	return use
 }
 
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// --- How long changes take ---
+// --- Time until changes are in force ---
 
-// InForce is how long changes took to be in force, from when they were made, on balancers that could tell.
+// InForce summarizes how long changes took to be in force on balancers, counted from when they were made.
 type InForce struct {
-	Changes int     `json:"changes"`
+	Changes int     `json:"changes"` // 0: none measured
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
-	Last    float64 `json:"last_ms"` // the slowest change on the slowest balancer
-	Missing int     `json:"missing"` // pairs of a change and a balancer where it was not in force in time
+	Last    float64 `json:"last_ms"` // the longest time of any change on any balancer
+	Missing int     `json:"missing"` // pairs of a change and a balancer where it was not in force before the timeout
 }
 
-// summary is the quantiles of delays.
+// summarize computes quantiles of the delays of a number of changes.
 func summarize(changes int, delays Delays) InForce {
 	histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	last := int64(0)
 	for _, us := range delays.Micros {
-		histogram.RecordValue(max(us, 1)) // an hour is more than any run
+		histogram.RecordValue(max(us, 1)) // no run lasts an hour
 		last = max(last, us)
 	}
 	return InForce{Changes: changes, P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000,
 		Last: float64(last) / 1000, Missing: delays.Missing}
 }
 
-// inForce tells how long changes of the list took on the hollow ones. It waits for the last of them, at most until the
-// time that the users allow is over.
+// awaitInForce returns how long revisions of the list took to be in force on the hollow balancers. It waits
+// until all are in force or timeout has passed since the last one was published.
 func (f *fleet) awaitInForce(revisions []RevisionTime, timeout time.Duration) (InForce, error) {
 	if len(revisions) == 0 || len(f.hollow) == 0 {
 		return InForce{}, nil
@@ -351,7 +360,7 @@
 	}
 }
 
-// delays asks all hollow processes.
+// collectDelays calls an RPC method on all hollow processes and combines the delays they reply with.
 func (f *fleet) collectDelays(method string, args any) (Delays, error) {
 	var mu sync.Mutex
 	var combined Delays
@@ -370,7 +379,7 @@
 	return combined, errors.Join(errs...)
 }
 
-// forget drops what the hollow ones have noted of changes so far.
+// forgetChanges drops the records of changes so far, here and on the hollow balancers.
 func (f *fleet) forgetChanges() error {
 	f.delivered = nil
 	for _, c := range f.hollow {
@@ -381,7 +390,8 @@
 	return nil
 }
 
-// play makes changes of a release at a rate, for a time, and returns them. At the rate 0 it only waits.
+// releaseAtRate makes changes of a rolling release, rate per second, for duration and returns their
+// revisions. With rate 0 it only waits.
 func (f *fleet) releaseAtRate(rate float64, duration time.Duration) ([]RevisionTime, error) {
 	var revisions []RevisionTime
 	start := time.Now()
@@ -403,20 +413,20 @@
 
 // --- Settings ---
 
-// Reload is a change of the settings on all balancers.
+// Reload is the result of a change of the settings on all balancers.
 type Reload struct {
-	Hollow    InForce        `json:"hollow"` // until the settings were in force, by the balancers' word
-	Real      []InForce      `json:"real"`   // until a request of the class that is new was served, for each program
-	NotServed []StatusCounts `json:"wrong"`  // the last statuses of these requests where it never was, for each program
+	Hollow    InForce        `json:"hollow"` // until the settings were in force, as reported by the balancers
+	Real      []InForce      `json:"real"`   // until a request of the new class was served, by program
+	NotServed []StatusCounts `json:"wrong"`  // last statuses of these requests on balancers that never served one, by program
 
-	servedDelays []Delays
+	servedDelays []Delays // summarized in Real, by program
 }
 
-// Counted counts by name.
+// StatusCounts counts requests by status.
 type StatusCounts map[string]int
 
-// reload writes a new version of the settings, has all read it, and waits until it is in force or within is over. The time
-// counts from when the first is told; that the files are there by then is the deliverer's.
+// reload writes a new version of the settings, has all balancers read it, and waits until it is in force or
+// timeout is over. Times count from when the files are written and the first balancer is signalled.
 func (f *fleet) reload(timeout time.Duration) (Reload, error) {
 	if err := f.writeConfigurations(); err != nil {
 		return Reload{}, err
@@ -444,14 +454,16 @@
 				result.servedDelays[program].Missing++
 				result.NotServed[program][status]++
 			} else {
-				result.servedDelays[program].Micros = append(result.servedDelays[program].Micros, servedAt.Sub(start).Microseconds())
+				result.servedDelays[program].Micros = append(result.servedDelays[program].Micros,
+					servedAt.Sub(start).Microseconds())
 			}
 		})
 	}
 	var hollow Delays
 	var err error
 	for len(f.hollow) > 0 {
-		if hollow, err = f.collectDelays("Hollow.SettingsSince", []SettingsDelivery{delivered}); err != nil || hollow.Missing == 0 || time.Now().After(deadline) {
+		if hollow, err = f.collectDelays("Hollow.SettingsSince", []SettingsDelivery{delivered}); err != nil ||
+			hollow.Missing == 0 || time.Now().After(deadline) {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -13,50 +13,51 @@
 	"garnettide/internal/proxy"
 )
 
-// This file holds hollow balancers: the real loop, module, discovery client and reload path, many in one process, without
-// clients. It notes when each had which revision in force. They share a heap and a collector, so a balancer's part of the
-// processor time is the process's divided by their number; the collector is less dear for each than in a process of its own,
-// where its soft limit and its pace are others. Memory is read as the live heap behind a collection, divided likewise. They
-// share the run's processors as well: a change comes to all at one moment, so the last balancer's time until it is in force
-// holds the work of the others before it, which a fleet's machines do side by side.
-
-// Hollow is a process's hollow balancers.
+// Hollow runs the hollow balancers of a process. A hollow balancer has the control loop, module, discovery
+// client and configuration reload of a real one, but no clients; many run in one process. Hollow records when
+// each had which revision and which settings in force.
+//
+// The processor time and the live heap of one balancer are those of the process divided by the number of
+// balancers. Because the balancers share a heap, garbage collection costs each of them less than in a process
+// of its own, where its memory limit and pacing differ. A change reaches all of them at once, so the time
+// until the last one has it in force includes the work of the others, which separate machines would do in
+// parallel.
 type Hollow struct {
-	mu        sync.Mutex
-	balancers map[string]*hollowBalancer // by the path of their configuration
+	mu        sync.Mutex                 // guards balancers
+	balancers map[string]*hollowBalancer // by path of the configuration file
 }
 
-// hollowOne is one balancer. It goes on being noted over restarts.
+// hollowBalancer is one hollow balancer. Its records are kept across restarts.
 type hollowBalancer struct {
 	path    string
 	cancel  context.CancelFunc
-	control *proxy.Control // nil: it does not run
+	control *proxy.Control // nil: not running
 	hangups chan os.Signal
 
-	mu              sync.Mutex
-	listsInForce    []RevisionTime // revisions that were in force, and when
-	settingsInForce []settingsTime // those that came into force after the start's, the newest last
+	mu              sync.Mutex     // guards listsInForce and settingsInForce
+	listsInForce    []RevisionTime // when each revision came into force, oldest first
+	settingsInForce []settingsTime // settings that came into force after the initial ones, oldest first
 }
 
-// settingsMade are settings, by their file's hash, and the Unix time in ns at which they came into force.
+// settingsTime is when settings came into force.
 type settingsTime struct {
-	hash string
-	at   int64
+	hash string // of the configuration file
+	at   int64  // Unix time in ns
 }
 
-const maxSettingsTimes = 1024
+const maxSettingsTimes = 1024 // kept for each balancer
 
-// Start starts a balancer for each path, or starts it again.
+// Start starts the balancer of each configuration file. It is an error if one is already running.
 func (h *Hollow) Start(paths []string, _ *Empty) error {
 	return h.forEach(paths, func(b *hollowBalancer) error {
 		if b.control != nil {
-			return fmt.Errorf("hollow: %s runs already", b.path)
+			return fmt.Errorf("hollow: %s is already running", b.path)
 		}
 		return b.start()
 	})
 }
 
-// Stop ends balancers at once, as a crash does.
+// Stop stops balancers immediately, as in a crash.
 func (h *Hollow) Stop(paths []string, _ *Empty) error {
 	return h.forEach(paths, func(b *hollowBalancer) error {
 		b.stop()
@@ -64,8 +65,8 @@
 	})
 }
 
-// Hangup tells balancers to read their files again, as SIGHUP does. One that has not taken the last such call yet takes
-// both as one.
+// Hangup has balancers read their files again, as SIGHUP does. It has no effect on a balancer that has yet to
+// handle an earlier call.
 func (h *Hollow) Hangup(paths []string, _ *Empty) error {
 	return h.forEach(paths, func(b *hollowBalancer) error {
 		select {
@@ -76,7 +77,7 @@
 	})
 }
 
-// each does something with each balancer, and makes those that were never seen.
+// forEach calls apply for the balancer of each path, which it creates if needed, and joins the errors.
 func (h *Hollow) forEach(paths []string, apply func(*hollowBalancer) error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -93,7 +94,7 @@
 	return errors.Join(errs...)
 }
 
-// StopAll ends all balancers.
+// StopAll stops all balancers.
 func (h *Hollow) StopAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,13 +137,14 @@
 	}
 }
 
-// Delays tells how long changes took to be in force.
+// Delays are the times until changes were in force on balancers.
 type Delays struct {
-	Micros  []int64 // one for each balancer and change
-	Missing int     // pairs of a balancer and a change that is not in force there
+	Micros  []int64 // microseconds, one for each pair of a balancer and a change
+	Missing int     // pairs of a balancer and a change not in force there yet
 }
 
-// Since replies with the time from each revision's making until each running balancer had it, or a newer one, in force.
+// Since replies with the time from the publication of each revision, oldest first, until each running
+// balancer had it or a newer one in force.
 func (h *Hollow) Since(revisions []RevisionTime, d *Delays) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -152,7 +154,7 @@
 		}
 		b.mu.Lock()
 		index := 0
-		for _, revision := range revisions { // both are in order of time
+		for _, revision := range revisions { // both slices are in order of time
 			for index < len(b.listsInForce) && b.listsInForce[index].Revision < revision.Revision {
 				index++
 			}
@@ -167,14 +169,15 @@
 	return nil
 }
 
-// SettingsTold are settings that balancers were told of at a moment.
+// SettingsDelivery is a version of the settings and when balancers were first signalled to read it.
 type SettingsDelivery struct {
-	At     int64             // Unix ns
-	Hashes map[string]string // of the files, by path; of others than this process's too
+	At     int64             // Unix time in ns
+	Hashes map[string]string // of the files by path; paths of other processes are ignored
 }
 
-// SettingsSince replies with the time until each of some versions of the settings, in order, or a newer one of them, was in
-// force on each running balancer: of those that come faster than they can be taken the newest counts.
+// SettingsSince replies with the time from each delivery, oldest first, until its settings or those of a
+// later delivery were in force on each running balancer. A balancer may skip versions that are replaced
+// before it reads them.
 func (h *Hollow) SettingsSince(deliveries []SettingsDelivery, d *Delays) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -200,7 +203,7 @@
 	return nil
 }
 
-// Forget drops what was noted of lists but the newest.
+// Forget drops the recorded revisions of each balancer except the newest.
 func (h *Hollow) Forget(_ Empty, _ *Empty) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,7 +217,8 @@
 	return nil
 }
 
-// Read replies with the process's usage. heap: also with the live heap, at the price of a collection.
+// Read replies with the usage of this process. With withHeap it runs a garbage collection to read the live
+// heap as well.
 func (h *Hollow) Read(withHeap bool, u *Usage) (err error) {
 	*u, err = ownUsage(withHeap)
 	return err
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -7,18 +7,17 @@
 	"time"
 )
 
-// This file keeps the list of upstreams that all machines of the stand-in discovery share, and makes its changes. It counts
-// nothing; it measures only the moment at which a revision was made.
+// This file holds the list of upstreams that the machines of the stand-in discovery share, and its changes.
 
 const (
-	// history is how many changed entries are kept for watches: a zone of 2,000 gone and back, with a release beside it. A
-	// watch from before that gets the whole list.
+	// maxLoggedChanges is the number of changes kept for watches: enough for a zone of 2,000 upstreams to
+	// leave and return during a release. A watch from an older revision gets the full list.
 	maxLoggedChanges = 8192
-	// wholeShare is the share of the list from which on changes are told as the whole list: an entry less costs no more.
+	// fullListThreshold is the fraction of the list above which changes are sent as the full list.
 	fullListThreshold = 0.5
 )
 
-// Member is an entry of discovery's list, in the protocol's form.
+// Member is an entry of discovery's list, as encoded by the protocol.
 type Member struct {
 	ID        string  `json:"id"`
 	HostPort  string  `json:"host_port"`
@@ -30,20 +29,20 @@
 	UpSinceMS int64   `json:"up_since_ms"` // Unix time; 0: long ago
 }
 
-// Listing is an answer of discovery, in the protocol's form.
+// Listing is a response of discovery, as encoded by the protocol.
 type Listing struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Made is a revision and the Unix time in ns at which discovery had it.
+// RevisionTime is a revision and the Unix time in ns at which it was published or came into force.
 type RevisionTime struct {
 	Revision uint64 `json:"revision"`
 	At       int64  `json:"at_ns"`
 }
 
-// answer is an encoded answer and what it holds.
+// listResponse is an encoded Listing with its main properties.
 type listResponse struct {
 	body     []byte
 	revision uint64
@@ -51,29 +50,31 @@
 	fullList bool
 }
 
-// entry is a change: the newest state of one upstream at a revision.
+// loggedChange is the state of an upstream as of the revision that changed it.
 type loggedChange struct {
 	revision uint64
 	Member
 }
 
-// list is the shared list. Its methods may be called from any goroutine.
+// list is the shared list of upstreams. listResponse, listing and the methods that publish a revision may be
+// called from any goroutine; the others need mu.
 type list struct {
 	mu           sync.Mutex
 	revision     uint64
 	members      []Member
-	indexByID    map[string]int // of an id in members
-	changeLog    []loggedChange // the newest last
-	minSince     uint64         // the oldest revision from which on log tells all changes
-	updated      chan struct{}  // closed when a newer revision is made
-	fullList     *listResponse  // of this revision, encoded once
-	deltas       map[uint64]*listResponse
-	releaseIndex int // the release's next upstream in members
-	releaseStep  int // of the release at this upstream
-	idsCreated   int // upstreams that were ever made
-}
-
-// newList makes n upstreams in zones zones whose addresses take turns. Revisions begin at 1.
+	indexByID    map[string]int           // index in members by ID
+	changeLog    []loggedChange           // oldest first
+	minSince     uint64                   // oldest revision since which changeLog is complete
+	updated      chan struct{}            // closed and replaced when a revision is published
+	fullList     *listResponse            // cache of the current full list; nil: not encoded yet
+	deltas       map[uint64]*listResponse // cache of the current responses by since
+	releaseIndex int                      // index in members of the upstream being replaced
+	releaseStep  int                      // changes already made to that upstream
+	idsCreated   int                      // number of IDs handed out
+}
+
+// newList returns a list of upstreams spread over zones, with addresses assigned in rotation. The first
+// revision is 1.
 func newList(upstreams, zones int, addresses []string) *list {
 	l := &list{revision: 1, minSince: 1, indexByID: map[string]int{}, updated: make(chan struct{}), deltas: map[uint64]*listResponse{}}
 	for i := range upstreams {
@@ -85,13 +86,13 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i+1) }
 
-// newID is an id that no upstream ever had.
+// newID returns an ID that no upstream had before.
 func (l *list) newID() string {
 	l.idsCreated++
-	return fmt.Sprintf("s-%08x", uint32(l.idsCreated)*2654435761) // an odd factor: 2^32 ids before one comes again
+	return fmt.Sprintf("s-%08x", uint32(l.idsCreated)*2654435761) // an odd factor maps the 2^32 values one to one
 }
 
-// put sets an entry, or takes it off the list where its phase is removed.
+// setMember adds or replaces an entry, or deletes it if its phase is removed.
 func (l *list) setMember(m Member) {
 	index, ok := l.indexByID[m.ID]
 	switch {
@@ -109,7 +110,8 @@
 	}
 }
 
-// change makes one revision of what by returns, and wakes the watches.
+// publish applies the entries that update returns as one revision and wakes the watches. update is called
+// with mu locked.
 func (l *list) publish(update func() []Member) RevisionTime {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,8 +132,8 @@
 	return RevisionTime{l.revision, time.Now().UnixNano()}
 }
 
-// release makes the next change of a release that replaces one upstream after the other: it drains, it is removed, and a
-// new one comes up in its place, cold.
+// advanceRelease makes the next change of a rolling release. Each upstream in turn is set to draining,
+// removed, and replaced by one that has just started, each in a revision of its own.
 func (l *list) advanceRelease() RevisionTime {
 	return l.publish(func() []Member {
 		if len(l.members) == 0 {
@@ -154,7 +156,7 @@
 	})
 }
 
-// remove takes up to most upstreams of a zone off the list in one revision, and returns them.
+// removeZone removes up to limit upstreams of a zone in one revision and returns them as they were.
 func (l *list) removeZone(zone string, limit int) (removed []Member, revision RevisionTime) {
 	revision = l.publish(func() []Member {
 		var changed []Member
@@ -170,7 +172,7 @@
 	return removed, revision
 }
 
-// restore puts upstreams back that have just started again, in one revision.
+// restore adds removed upstreams again in one revision, as just started.
 func (l *list) restore(removed []Member) RevisionTime {
 	return l.publish(func() []Member {
 		now := time.Now().UnixMilli()
@@ -182,8 +184,9 @@
 	})
 }
 
-// answer returns what a call with since gets, and a channel that is closed at the next change. Without a since, 0, it is
-// the whole list. Nothing newer: an answer without entries.
+// listResponse returns the response to a call with since, and a channel that is closed when the next revision
+// is published. The response is the full list if since is 0, unknown or older than the change log, and has no
+// entries if since is the current revision.
 func (l *list) listResponse(since uint64) (*listResponse, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,7 +206,8 @@
 	if since != 0 && since >= l.minSince && since <= l.revision {
 		content.Members = l.since(since)
 	}
-	if content.Complete = since == 0 || since < l.minSince || since > l.revision || float64(len(content.Members)) > fullListThreshold*float64(len(l.members)); content.Complete {
+	if content.Complete = since == 0 || since < l.minSince || since > l.revision ||
+		float64(len(content.Members)) > fullListThreshold*float64(len(l.members)); content.Complete {
 		content.Members = l.members
 	}
 	body, err := json.Marshal(content)
@@ -220,7 +224,7 @@
 	return response, l.updated, nil
 }
 
-// since returns the newest state of each upstream that changed after a revision.
+// since returns the current state of each upstream that changed after revision.
 func (l *list) since(revision uint64) []Member {
 	changed, seen := []Member{}, map[string]bool{}
 	for i := len(l.changeLog) - 1; i >= 0 && l.changeLog[i].revision > revision; i-- {
@@ -232,7 +236,7 @@
 	return changed
 }
 
-// listing is the whole list as it stands.
+// listing returns the current full list.
 func (l *list) listing() Listing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// This file runs real balancers, processes of the operators' program, as the page on deployment says. What each uses is read
-// by procfs; whether it serves, from /healthz, as a front does.
+// This file runs real balancers: processes of the balancer program that receive client requests while
+// /healthz answers 200.
 
 const (
 	healthCheckInterval = 100 * time.Millisecond
@@ -22,17 +22,17 @@
 	readyTimeout        = 40 * time.Second
 )
 
-// realOne is a real balancer. It keeps its name and its address over restarts.
+// realBalancer is a real balancer. Its name and address stay the same across restarts.
 type realBalancer struct {
 	spec     BalancerSpec
 	path     string
 	program  string
 	child    *child
-	admitted atomic.Bool  // the front sends it requests
-	readyAt  atomic.Int64 // when it first was healthy since its start, Unix ns
+	admitted atomic.Bool  // its last health check passed, so clients use it
+	readyAt  atomic.Int64 // first successful health check since its start, Unix time in ns; 0: none
 }
 
-// startReal starts a balancer's process.
+// startRealBalancer starts the process of a balancer.
 func (f *fleet) startRealBalancer(r *realBalancer) error {
 	cmd := exec.Command(r.program)
 	tmp := filepath.Join(f.dir, "tmp-"+r.spec.Name)
@@ -46,7 +46,7 @@
 	return err
 }
 
-// hangup sends a balancer SIGHUP.
+// hangup sends SIGHUP to the balancer.
 func (r *realBalancer) hangup() error {
 	if err := r.child.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return fmt.Errorf("%s: SIGHUP: %w", r.spec.Name, err)
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// front asks a balancer's health until ctx ends, and admits it by that.
+// checkHealth polls /healthz until ctx ends and updates admitted and readyAt.
 func (r *realBalancer) checkHealth(ctx context.Context) {
 	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	ticker := time.NewTicker(healthCheckInterval)
@@ -77,12 +77,13 @@
 	}
 }
 
-// awaitReady waits until a balancer has been healthy since its start.
+// awaitReady waits until the balancer has passed a health check since its start. It fails if the process
+// exits or after readyTimeout.
 func (r *realBalancer) awaitReady() error {
 	for start := time.Now(); r.readyAt.Load() == 0; time.Sleep(healthCheckInterval / 5) {
 		select {
 		case <-r.child.exited:
-			return fmt.Errorf("%s has ended: %v", r.spec.Name, r.child.err)
+			return fmt.Errorf("%s has exited: %v", r.spec.Name, r.child.err)
 		default:
 		}
 		if time.Since(start) > readyTimeout {
@@ -92,11 +93,12 @@
 	return nil
 }
 
-// freeAddress is a loopback address on which nothing listens just now.
+// freeAddress returns a loopback address with a free port. Another process may take the port before it is
+// used.
 func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("looking for a free address: %w", err)
+		return "", fmt.Errorf("finding a free address: %w", err)
 	}
 	defer l.Close()
 	return l.Addr().String(), nil
--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -7,51 +7,54 @@
 	"time"
 )
 
-// This file plays the scenes: what happens on bad days, on a fleet of hollow balancers with real ones and their clients beside
-// them. Each tells whether changes were in force everywhere in time, what discovery had to stand, and what the clients saw.
+// This file plays scenes, such as a lost zone or an unreachable discovery, on a fleet of hollow balancers and
+// real balancers with clients. A scene measures how long changes took to be in force, the load on discovery
+// and what clients saw.
 
 const (
-	zoneOutage    = 20 * time.Second // how long a zone is lost
-	recoveryTime  = 12 * time.Second // what is watched behind the end of an event
-	busiestWindow = time.Second
-	machineOutage = 20 * time.Second
-	lostZone      = 0
-	lostMachine   = 0
+	zoneOutage    = 20 * time.Second // how long the zone is lost
+	recoveryTime  = 12 * time.Second // observed after the end of an event
+	busiestWindow = time.Second      // over which the load on discovery is compared
+	machineOutage = 20 * time.Second // how long the machine of discovery is silent
+	lostZone      = 0                // index
+	lostMachine   = 0                // index
 )
 
-// sceneSize is a scene's fleet where nothing else is said: before all upstreams, with as many balancers as two cores bear.
-var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: Upstreams, Zones: 7, Classes: 20, Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
+// sceneSize is the default size of a scene's fleet: all upstreams, and as many balancers as two cores can
+// run.
+var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: Upstreams, Zones: 7, Classes: 20,
+	Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
 	Hollow: 24, Real: 8, Machines: 4, Rate: 240}
 
-// Scene is what a scene has shown.
+// Scene is the result of a scene.
 type Scene struct {
 	Name     string             `json:"name"`
 	Size     Size               `json:"size"`
-	Programs []string           `json:"programs"` // of the real balancers, which take turns
+	Programs []string           `json:"programs"` // names of the programs of real balancers, assigned in rotation
 	Phases   []Phase            `json:"phases"`
-	Figures  map[string]float64 `json:"figures,omitempty"` // what this scene alone has
+	Figures  map[string]float64 `json:"figures,omitempty"` // specific to this scene, by name
 }
 
-// Phase is a part of a scene.
+// Phase is the result of one phase of a scene.
 type Phase struct {
 	Name             string         `json:"name"`
-	ListInForce      InForce        `json:"lists"`               // changes of the list on the hollow balancers
-	SettingsInForce  InForce        `json:"settings"`            // changes of the settings on the hollow ones
-	SettingsServed   []InForce      `json:"settings_served"`     // on the real ones, until the new class was served, for each program
-	NotServed        []StatusCounts `json:"settings_not_served"` // the last statuses where it never was
+	ListInForce      InForce        `json:"lists"`               // changes of the list on hollow balancers
+	SettingsInForce  InForce        `json:"settings"`            // changes of the settings on hollow balancers
+	SettingsServed   []InForce      `json:"settings_served"`     // until real balancers served the new class, by program
+	NotServed        []StatusCounts `json:"settings_not_served"` // last statuses on balancers that never served it, by program
 	ResourceUse      ResourceUse    `json:"spent"`
-	BusiestSecond    ResourceUse    `json:"busiest_second"` // of discovery: its second with the most calls
+	BusiestSecond    ResourceUse    `json:"busiest_second"` // the second with the most calls to discovery
 	Clients          ClientStats    `json:"clients"`
-	ClientsByProgram []ClientStats  `json:"clients_by_program"` // of the real balancer that had the request last
+	ClientsByProgram []ClientStats  `json:"clients_by_program"` // by program of the last balancer tried
 }
 
-// scene is a scene to play.
+// scene is the name of a scene and the function that plays it.
 type scene struct {
 	name string
-	play func(r *Run, f *fleet, x *Scene) error
+	play func(r *Run, f *fleet, result *Scene) error
 }
 
-// scenes are in the order in which they are played.
+// scenes lists all scenes in the order in which they are played.
 var scenes = []scene{
 	{"settings", playSettings},
 	{"zone", playZone},
@@ -60,30 +63,33 @@
 	{"cut", playCut},
 }
 
-// scene plays a scene on a fleet of its own.
+// playScene plays a scene on a new fleet.
 func (r *Run) playScene(s scene) (Scene, error) {
 	result := Scene{Name: s.name, Size: r.options.Size.over(sceneSize), Programs: r.names, Figures: map[string]float64{}}
-	r.progress("scene %s: %d hollow balancers and %d real ones before %d upstreams, %d classes, %d tenants", s.name, result.Size.Hollow,
+	r.progress("scene %s: starting %d hollow and %d real balancers with %d upstreams, %d classes, %d tenants", s.name, result.Size.Hollow,
 		result.Size.Real, result.Size.Upstreams, result.Size.Classes, result.Size.Tenants)
 	f, err := newFleet(result.Size, r.kids, r.programs...)
 	if err != nil {
 		return result, err
 	}
 	defer f.close()
-	if _, err := r.measurePhase(f, &result, "before", func(*Phase) ([]RevisionTime, error) { return f.releaseAtRate(0, min(r.options.For, 10*time.Second)) }); err != nil {
+	if _, err := r.measurePhase(f, &result, "before", func(*Phase) ([]RevisionTime, error) {
+		return f.releaseAtRate(0, min(r.options.For, 10*time.Second))
+	}); err != nil {
 		return result, err
 	}
 	return result, s.play(r, f, &result)
 }
 
-// phase measures what do does. Changes of the list that it returns have to be in force.
+// measurePhase measures a phase while do runs and until the revisions that it returns are in force, and adds
+// it to result.
 func (r *Run) measurePhase(f *fleet, result *Scene, name string, do func(p *Phase) ([]RevisionTime, error)) (Phase, error) {
 	p := Phase{Name: name}
 	if err := f.forgetChanges(); err != nil {
 		return p, err
 	}
 	if f.traffic != nil {
-		f.traffic.takeStats() // what was before
+		f.traffic.takeStats() // drop the requests before this phase
 	}
 	before, err := f.readUsage(false)
 	if err != nil {
@@ -109,13 +115,14 @@
 		p.Clients, p.ClientsByProgram = f.traffic.takeStats()
 	}
 	result.Phases = append(result.Phases, p)
-	r.progress("  %s: lists in force p99 %.0f ms, last %.0f, missing %d of %d; discovery %.0f calls/s, %.0f KB/s; clients %d, not served %d, added p99 %.2f ms",
-		name, p.ListInForce.P99, p.ListInForce.Last, p.ListInForce.Missing, p.ListInForce.Changes, p.ResourceUse.Calls, p.ResourceUse.DiscoveryOut/1000, p.Clients.Requests,
-		p.Clients.notServed(), p.Clients.AddedP99)
+	r.progress(
+		"  %s: lists in force p99 %.0f ms, last %.0f ms, missing %d of %d; discovery %.0f calls/s, %.0f KB/s; clients %d, not served %d, added p99 %.2f ms",
+		name, p.ListInForce.P99, p.ListInForce.Last, p.ListInForce.Missing, p.ListInForce.Changes, p.ResourceUse.Calls,
+		p.ResourceUse.DiscoveryOut/1000, p.Clients.Requests, p.Clients.notServed(), p.Clients.AddedP99)
 	return p, r.failure()
 }
 
-// busiest is discovery's second with the most calls, until stop is closed.
+// busiestSecond samples discovery until stop is closed and returns the second with the most calls.
 func (f *fleet) busiestSecond(stop <-chan struct{}) ResourceUse {
 	var busiest ResourceUse
 	before, err := f.readDiscovery()
@@ -140,8 +147,9 @@
 	return busiest
 }
 
-// playSettings changes the settings again and again. On hollow balancers a version is in force once it or a newer one is. On the real ones
-// a request of its own class has to be served before the next one comes; the last one has all the time that the users allow.
+// playSettings changes the settings repeatedly. On hollow balancers a version counts as in force once it or a
+// newer one is. Real balancers have to serve a request of the version's own class before the next version is
+// written, or within inForceTimeout for the last one.
 func playSettings(r *Run, f *fleet, result *Scene) error {
 	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.Every), func(p *Phase) ([]RevisionTime, error) {
 		realDelays := make([]Delays, len(f.programs))
@@ -153,7 +161,7 @@
 			next := time.Now().Add(r.options.Every)
 			last = time.Since(start)+r.options.Every >= r.options.For
 			timeout := r.options.Every - r.options.Every/10
-			if last { // no other follows it
+			if last {
 				timeout = inForceTimeout
 			}
 			change, err := f.reload(timeout)
@@ -175,18 +183,20 @@
 			return nil, err
 		}
 		p.SettingsInForce = summarize(changes, hollowDelays)
-		r.progress("  settings in force on hollow ones p99 %.0f ms, last %.0f, missing %d", p.SettingsInForce.P99, p.SettingsInForce.Last, p.SettingsInForce.Missing)
+		r.progress("  settings in force on hollow balancers: p99 %.0f ms, last %.0f ms, missing %d", p.SettingsInForce.P99,
+			p.SettingsInForce.Last, p.SettingsInForce.Missing)
 		for i, d := range realDelays {
 			s := summarize(changes, d)
 			p.SettingsServed = append(p.SettingsServed, s)
-			r.progress("  served by real ones of program %d p99 %.0f ms, last %.0f, missing %d %v", i+1, s.P99, s.Last, s.Missing, p.NotServed[i])
+			r.progress("  new class served by real balancers of program %d: p99 %.0f ms, last %.0f ms, missing %d %v", i+1, s.P99,
+				s.Last, s.Missing, p.NotServed[i])
 		}
 		return nil, nil
 	})
 	return err
 }
 
-// playZone loses a zone with its balancers and upstreams, and gets it back, cold.
+// playZone stops a zone with its balancers and upstreams, and starts it again.
 func playZone(r *Run, f *fleet, result *Scene) error {
 	zone := Zone{Name: zoneName(lostZone)}
 	paths := f.selectPaths(func(s BalancerSpec) bool { return s.Zone == zone.Name })
@@ -238,7 +248,7 @@
 	return err
 }
 
-// playRestart restarts a tenth of the fleet at once while a change is made.
+// playRestart restarts a tenth of the fleet at once while the list changes.
 func playRestart(r *Run, f *fleet, result *Scene) error {
 	n := 0
 	paths := f.selectPaths(func(BalancerSpec) bool { n++; return n%10 == 1 })
@@ -269,7 +279,8 @@
 			if err := b.awaitReady(); err != nil {
 				return nil, err
 			}
-			result.Figures["last real one ready, s"] = max(result.Figures["last real one ready, s"], time.Unix(0, b.readyAt.Load()).Sub(start).Seconds())
+			result.Figures["last real one ready, s"] = max(result.Figures["last real one ready, s"],
+				time.Unix(0, b.readyAt.Load()).Sub(start).Seconds())
 		}
 		time.Sleep(recoveryTime)
 		return []RevisionTime{revision}, nil
@@ -277,9 +288,11 @@
 	return err
 }
 
-// playMachine loses one machine of discovery while the list changes, and gets it back.
+// playMachine makes one machine of discovery silent while the list changes, and brings it back.
 func playMachine(r *Run, f *fleet, result *Scene) error {
-	result.Figures["balancers at the machine"] = float64(len(slices.Concat(f.selectPaths(func(s BalancerSpec) bool { return s.Discovery == f.addresses[lostMachine] })...)))
+	result.Figures["balancers at the machine"] = float64(len(slices.Concat(f.selectPaths(func(s BalancerSpec) bool {
+		return s.Discovery == f.addresses[lostMachine]
+	})...)))
 	setMode := func(mode Mode) error {
 		return f.discovery.call("Discovery.Set", MachineMode{lostMachine, mode}, &Empty{})
 	}
@@ -300,7 +313,8 @@
 	return err
 }
 
-// playCut cuts discovery off, and gets it back with a change that was made meanwhile.
+// playCut makes all machines of discovery silent while the list changes, brings them back and makes another
+// change.
 func playCut(r *Run, f *fleet, result *Scene) error {
 	setMode := func(mode Mode) error {
 		for i := range f.addresses {
@@ -333,7 +347,7 @@
 	return err
 }
 
-// pathsOf are the files of the hollow balancers that which picks, by process.
+// selectPaths returns the configuration files of the matching hollow balancers by process.
 func (f *fleet) selectPaths(matches func(BalancerSpec) bool) [][]string {
 	selected := make([][]string, len(f.hollowPaths))
 	for i, hollowPaths := range f.hollowPaths {
@@ -346,7 +360,7 @@
 	return selected
 }
 
-// tell calls a method of each hollow process with its part of paths.
+// callHollow calls an RPC method on each hollow process with its paths, and skips processes without any.
 func (f *fleet) callHollow(method string, paths [][]string) error {
 	for i, c := range f.hollow {
 		if len(paths[i]) > 0 {
--- a/internal/scale/small_test.go
+++ b/internal/scale/small_test.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// This file is the scale run's small form, for every change of the code: the stand-in discovery and hollow balancers in the
-// test's own process. It asserts counts, bytes and how they grow, never times: what is waited for is bounded by patience alone.
+// These tests run the stand-in discovery and hollow balancers in the process of the test. They check counts
+// and bytes and how these grow with the fleet, but no times.
 
-const smallFleetTimeout = 60 * time.Second
+const smallFleetTimeout = 60 * time.Second // for each condition to become true
 
-// small is a small fleet in this process.
+// smallFleet is a discovery and hollow balancers in this process.
 type smallFleet struct {
 	t          *testing.T
 	discovery  Discovery
 	addresses  []string
 	hollow     Hollow
-	hashes     map[string]string
-	paths      []string
+	hashes     map[string]string // of the configuration files, by path
+	paths      []string          // configuration files
 	dimensions FleetDimensions
-	version    int
+	version    int // of the settings
 }
 
-// newSmall starts balancers and waits until each waits in a watch.
+// newSmallFleet starts a fleet and waits until each balancer waits in a watch.
 func newSmallFleet(t *testing.T, balancers, upstreams int) *smallFleet {
 	t.Helper()
-	s := &smallFleet{t: t, dimensions: FleetDimensions{Balancers: balancers, Upstreams: upstreams, Zones: 3, Classes: 4, Tenants: 10, MaxDiscoveryInterval: 2 * time.Second}}
+	s := &smallFleet{t: t, dimensions: FleetDimensions{Balancers: balancers, Upstreams: upstreams, Zones: 3, Classes: 4, Tenants: 10,
+		MaxDiscoveryInterval: 2 * time.Second}}
 	t.Cleanup(s.discovery.Stop)
 	s.must(s.discovery.Start(DiscoveryConfig{Machines: 2, Upstreams: upstreams, Zones: 3, Addresses: []string{"127.0.0.1:1"}}, &s.addresses))
 	dir := t.TempDir()
@@ -48,7 +49,7 @@
 	}
 }
 
-// configure writes the next version of the settings, with a machine of discovery.
+// configure writes the next version of the settings for all balancers, with the given machine of discovery.
 func (s *smallFleet) configure(machine int) {
 	s.t.Helper()
 	var known Listing
@@ -64,23 +65,24 @@
 	}
 }
 
-// await waits for a condition.
+// await waits until met returns true and fails the test after smallFleetTimeout.
 func (s *smallFleet) await(what string, met func() bool) {
 	s.t.Helper()
 	for start := time.Now(); !met(); time.Sleep(2 * time.Millisecond) {
 		if time.Since(start) > smallFleetTimeout {
-			s.t.Fatalf("%s: not within %v", what, smallFleetTimeout)
+			s.t.Fatalf("%s: not true within %v", what, smallFleetTimeout)
 		}
 	}
 }
 
-// settle waits until each balancer waits in a watch of the newest revision.
+// awaitSettled waits until each balancer waits in a watch, so that it has the current revision.
 func (s *smallFleet) awaitSettled() {
 	s.t.Helper()
-	s.await("all wait in a watch", func() bool { return s.discovery.counts.waiting.Load() == int64(len(s.paths)) })
+	s.await("all balancers wait in a watch", func() bool { return s.discovery.counts.waiting.Load() == int64(len(s.paths)) })
 }
 
-// change makes a change and returns what discovery was asked and told until it was in force everywhere.
+// applyChange makes a change, waits until it is in force everywhere and returns the counts of discovery for
+// it.
 func (s *smallFleet) applyChange(makeChange func(*RevisionTime) error) Counts {
 	s.t.Helper()
 	before := s.discovery.counts.snapshot()
@@ -106,27 +108,27 @@
 	}
 }
 
-// One change of the list costs each balancer one answer with one entry, whatever the number of upstreams, and discovery as
-// many as there are balancers.
+// A change of the list costs each balancer one response with one entry, whatever the number of upstreams.
+// Discovery sends as many responses as there are balancers.
 func TestCostOfListChange(t *testing.T) {
 	var upstreams, bytes, balancers, answers []float64
 	for _, n := range []int{60, 120, 240, 480} {
 		s := newSmallFleet(t, 12, n)
 		for i := range 3 { // drain, remove, replace
 			c := s.applyChange(s.release)
-			want(t, fmt.Sprintf("%d upstreams, change %d: answers", n, i), c.Updates, 12)
+			want(t, fmt.Sprintf("%d upstreams, change %d: responses", n, i), c.Updates, 12)
 			want(t, "entries", c.Entries, 12)
-			want(t, "whole lists", c.FullLists, 0)
+			want(t, "full lists", c.FullLists, 0)
 			want(t, "failed calls", c.Failed, 0)
 			if i == 0 {
 				upstreams, bytes = append(upstreams, float64(n)), append(bytes, float64(c.BodyBytes)/12)
 			}
 		}
 		s.hollow.StopAll()
-		s.await("watches end with their balancers", func() bool { return s.discovery.counts.waiting.Load() == 0 })
+		s.await("watches of stopped balancers end", func() bool { return s.discovery.counts.waiting.Load() == 0 })
 	}
 	if f := FitPoints(upstreams, bytes); f.Form != Constant || f.Worst > 0.02 {
-		t.Errorf("bytes of a change over upstreams %v: %v, %v; want them constant", upstreams, bytes, f)
+		t.Errorf("bytes per change for %v upstreams: %v, %v; want a constant", upstreams, bytes, f)
 	}
 	for _, n := range []int{6, 12, 24, 48} {
 		s := newSmallFleet(t, n, 60)
@@ -136,25 +138,27 @@
 		s.hollow.StopAll()
 	}
 	if f := FitPoints(balancers, answers); f.Form != Linear || f.Worst > 0.001 || f.At(1) > 1.001 {
-		t.Errorf("answers for a change over balancers %v: %v, %v; want one each", balancers, answers, f)
+		t.Errorf("responses per change for %v balancers: %v, %v; want one for each balancer", balancers, answers, f)
 	}
 }
 
-// A zone that goes at once, and comes back cold, is one answer for each balancer, with an entry for each upstream.
+// The loss of a zone, and its return, cost each balancer one response with an entry for each upstream of the
+// zone.
 func TestCostOfZoneLossAndReturn(t *testing.T) {
 	s := newSmallFleet(t, 12, 60)
 	c := s.applyChange(func(m *RevisionTime) error { return s.discovery.Lose(Zone{Name: zoneName(1)}, m) })
-	want(t, "lost: answers", c.Updates, 12)
-	want(t, "lost: entries", c.Entries, 12*20)
+	want(t, "zone lost: responses", c.Updates, 12)
+	want(t, "zone lost: entries", c.Entries, 12*20)
 	c = s.applyChange(func(m *RevisionTime) error { return s.discovery.Regain(Zone{Name: zoneName(1)}, m) })
-	want(t, "back: answers", c.Updates, 12)
-	want(t, "back: entries", c.Entries, 12*20)
+	want(t, "zone back: responses", c.Updates, 12)
+	want(t, "zone back: entries", c.Entries, 12*20)
 	var list Listing
 	s.must(s.discovery.Listing(Empty{}, &list))
-	want(t, "upstreams in the end", int64(len(list.Members)), 60)
+	want(t, "upstreams after the return", int64(len(list.Members)), 60)
 }
 
-// Two reloads that move discovery: each balancer asks the new machine for the whole list once, and follows it from there.
+// After a reload with another address of discovery each balancer gets the full list from there once, and then
+// only changes.
 func TestCostOfMovedDiscovery(t *testing.T) {
 	const balancers, upstreams = 12, 60
 	s := newSmallFleet(t, balancers, upstreams)
@@ -162,39 +166,40 @@
 		before := s.discovery.counts.snapshot()
 		s.configure(machine)
 		s.must(s.hollow.Hangup(s.paths, nil))
-		s.await("all wait at the new machine", func() bool {
+		s.await("all balancers wait at the new machine", func() bool {
 			return s.discovery.machines[machine].waiting.Load() == balancers && s.discovery.machines[1-machine].waiting.Load() == 0
 		})
 		c := s.discovery.counts.snapshot().sub(before)
-		want(t, fmt.Sprintf("reload %d: whole lists", i), c.FullLists, balancers)
+		want(t, fmt.Sprintf("reload %d: full lists", i), c.FullLists, balancers)
 		want(t, "entries", c.Entries, balancers*upstreams)
 		if each := float64(c.BodyBytes) / float64(c.Entries); each > 200 {
-			t.Errorf("reload %d: %.0f bytes an entry, want 200 at most", i, each)
+			t.Errorf("reload %d: %.0f bytes per entry, want at most 200", i, each)
 		}
 		c = s.applyChange(s.release)
-		want(t, "answers for a change behind it", c.Updates, balancers)
+		want(t, "responses for a change after the move", c.Updates, balancers)
 	}
 }
 
-// A balancer that dies and starts again from a file that is old by some changes is told these alone, and has them in force.
+// A balancer that restarts with an old list in its configuration gets only the changes since, not the full
+// list.
 func TestCostOfRestart(t *testing.T) {
 	s := newSmallFleet(t, 12, 60)
 	for range 3 {
 		s.applyChange(s.release)
 	}
 	s.must(s.hollow.Stop(s.paths[:2], nil))
-	s.await("two have gone", func() bool { return s.discovery.counts.waiting.Load() == 10 })
+	s.await("two balancers have stopped", func() bool { return s.discovery.counts.waiting.Load() == 10 })
 	before := s.discovery.counts.snapshot()
 	s.must(s.hollow.Start(s.paths[:2], nil))
 	s.awaitSettled()
 	c := s.discovery.counts.snapshot().sub(before)
-	want(t, "answers", c.Updates, 2)
-	want(t, "entries: one upstream gone, one new", c.Entries, 2*2)
-	want(t, "whole lists", c.FullLists, 0)
-	want(t, "answers for a change behind it", s.applyChange(s.release).Updates, 12)
+	want(t, "responses", c.Updates, 2)
+	want(t, "entries: one upstream removed, one added", c.Entries, 2*2)
+	want(t, "full lists", c.FullLists, 0)
+	want(t, "responses for a change after the restart", s.applyChange(s.release).Updates, 12)
 }
 
-// Two changes of the settings are in force on every balancer, and cost discovery nothing.
+// Changes of the settings come into force on every balancer without a response from discovery.
 func TestCostOfSettingsChange(t *testing.T) {
 	s := newSmallFleet(t, 12, 60)
 	before := s.discovery.counts.snapshot()
@@ -208,8 +213,8 @@
 		})
 	}
 	c := s.discovery.counts.snapshot().sub(before)
-	want(t, "answers", c.Updates, 0)
-	want(t, "whole lists", c.FullLists, 0)
+	want(t, "responses", c.Updates, 0)
+	want(t, "full lists", c.FullLists, 0)
 	want(t, "entries", c.Entries, 0)
-	want(t, "answers for a change behind them", s.applyChange(s.release).Updates, 12)
+	want(t, "responses for a change after the reloads", s.applyChange(s.release).Updates, 12)
 }
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -17,25 +17,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file has the upstreams and the clients of the real balancers, in the run's own process, by the protocol's page. The
-// upstreams' ids are many and their listening sockets few, one for each zone. A request's added time is the client's, from
-// before it is written until its answer has been read, less the upstream's own, from the request's last byte until its
-// answer is written. It holds what this process adds as well.
+// This file has the upstreams and the clients of the real balancers, which run in the process of the run. All
+// upstreams of a zone share one listening socket. The added latency of a request is the client's time, from
+// before the request is written until the response has been read, minus the upstream's time, from the last
+// byte of the request until the response is written. It includes what this process adds.
 
 const (
-	serviceTime         = 5 * time.Millisecond // an upstream's own time for a request
-	maxInFlight         = 4000                 // requests that the clients have open at most; more are counted, not sent
+	serviceTime         = 5 * time.Millisecond // of an upstream for a request
+	maxInFlight         = 4000                 // requests of all clients; further ones are counted as not sent
 	requestDeadline     = 750 * time.Millisecond
-	clientTimeoutMargin = 250 * time.Millisecond
+	clientTimeoutMargin = 250 * time.Millisecond // that clients wait beyond the deadline
 )
 
-// upstreams are the listening sockets of a zone each.
+// upstreamServers are the HTTP servers of the upstreams, one for each zone.
 type upstreamServers struct {
 	mu        sync.Mutex
-	hostPorts []string
-	servers   []*http.Server // nil: lost
+	hostPorts []string       // by zone
+	servers   []*http.Server // by zone; nil: stopped
 }
 
+// newUpstreamServers starts a server for each zone on a loopback address of its own.
 func newUpstreamServers(zones int) (*upstreamServers, error) {
 	u := &upstreamServers{hostPorts: make([]string, zones), servers: make([]*http.Server, zones)}
 	for i := range zones {
@@ -47,13 +48,13 @@
 	return u, nil
 }
 
-// up opens a zone's socket.
+// startZone starts the server of a zone on its last address.
 func (u *upstreamServers) startZone(zone int) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	l, err := net.Listen("tcp", u.hostPorts[zone])
 	if err != nil {
-		return fmt.Errorf("an upstream's socket: %w", err)
+		return fmt.Errorf("listening for an upstream: %w", err)
 	}
 	u.hostPorts[zone] = l.Addr().String()
 	s := &http.Server{Handler: http.HandlerFunc(serveUpstream), IdleTimeout: 60 * time.Second}
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// down closes a zone's socket and resets its connections.
+// stopZone closes the server of a zone and its connections.
 func (u *upstreamServers) stopZone(zone int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -72,13 +73,14 @@
 	}
 }
 
+// close stops all zones.
 func (u *upstreamServers) close() {
 	for zone := range u.hostPorts {
 		u.stopZone(zone)
 	}
 }
 
-// serve answers a request with the time that it took, ns.
+// serveUpstream answers a request with the time that it took in ns.
 func serveUpstream(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
@@ -86,38 +88,39 @@
 	start := time.Now()
 	time.Sleep(serviceTime)
 	if r.Context().Err() != nil {
-		slog.Info("an upstream's connection ended under its work", "request", r.Header.Get("X-Request-Id"), "method", r.Method,
+		slog.Info("connection closed while an upstream was serving the request", "request", r.Header.Get("X-Request-Id"), "method", r.Method,
 			"key", r.Header.Get("Idempotency-Key") != "")
 	}
 	w.Header().Set("X-Load", "util=0.30")
 	io.WriteString(w, strconv.FormatInt(int64(time.Since(start)), 10))
 }
 
-// Seen is what clients saw in some time.
+// ClientStats is what clients saw over a period.
 type ClientStats struct {
 	Requests int            `json:"requests"`
-	Statuses map[string]int `json:"statuses"` // by status, or by how the connection ended
-	AddedP50 float64        `json:"added_p50_ms"`
+	Statuses map[string]int `json:"statuses"`     // by status code, or by the failure if there was none
+	AddedP50 float64        `json:"added_p50_ms"` // added latency of requests with status 200
 	AddedP99 float64        `json:"added_p99_ms"`
 	AddedMax float64        `json:"added_max_ms"`
-	Moved    int            `json:"moved"` // connects refused or cut before an answer's first byte, asked again elsewhere
+	Moved    int            `json:"moved"` // failed connection attempts that were repeated at another balancer
 }
 
-// count is what is counted of requests.
+// statsRecorder accumulates ClientStats.
 type statsRecorder struct {
 	stats        ClientStats
 	addedLatency *hdrhistogram.Histogram // µs
 }
 
 func newStatsRecorder() *statsRecorder {
-	return &statsRecorder{stats: ClientStats{Statuses: map[string]int{}}, addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+	return &statsRecorder{stats: ClientStats{Statuses: map[string]int{}},
+		addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
 func (c *statsRecorder) record(status string, addedLatency time.Duration, moved int) {
 	c.stats.Requests++
 	c.stats.Moved += moved
 	if c.stats.Statuses[status]++; status == "200" {
-		c.addedLatency.RecordValue(max(1, addedLatency.Microseconds())) // a longer time than the histogram's is no client's
+		c.addedLatency.RecordValue(max(1, addedLatency.Microseconds())) // fits: clients time out earlier than the maximum
 	}
 }
 
@@ -128,26 +131,27 @@
 	return s
 }
 
-// unserved is how many requests had no 200.
+// notServed returns the number of requests without status 200.
 func (s ClientStats) notServed() int { return s.Requests - s.Statuses["200"] }
 
 // traffic sends requests to the real balancers at a fixed rate.
 type traffic struct {
 	realBalancers []*realBalancer
-	classes       int
+	classes       int // used by requests; excludes the class of the settings version
 	tenants       int
 	clients       []*http.Client // one for each real balancer
-	lastRequest   atomic.Uint64
+	lastRequest   atomic.Uint64  // serial number of the last request
 	inFlight      atomic.Int64
 
 	mu        sync.Mutex
 	total     *statsRecorder
-	byProgram []*statsRecorder // by the balancers' program
+	byProgram []*statsRecorder // by program of the last balancer tried
 }
 
-// newTraffic makes clients of balancers that run a number of programs in turn.
+// newTraffic returns clients of balancers that run a number of programs in rotation.
 func newTraffic(realBalancers []*realBalancer, programs int, dimensions FleetDimensions) *traffic {
-	t := &traffic{realBalancers: realBalancers, byProgram: make([]*statsRecorder, programs), classes: max(dimensions.Classes-1, 1), tenants: dimensions.Tenants}
+	t := &traffic{realBalancers: realBalancers, byProgram: make([]*statsRecorder, programs),
+		classes: max(dimensions.Classes-1, 1), tenants: dimensions.Tenants}
 	for range realBalancers {
 		t.clients = append(t.clients, &http.Client{Timeout: requestDeadline + clientTimeoutMargin,
 			Transport: &http.Transport{MaxIdleConnsPerHost: 100, IdleConnTimeout: 30 * time.Second}})
@@ -163,7 +167,7 @@
 	}
 }
 
-// take returns what was seen since the last take, in all and by the balancers' program.
+// takeStats returns the statistics since the last call, in total and by program of the balancers.
 func (t *traffic) takeStats() (total ClientStats, perProgram []ClientStats) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,7 +179,7 @@
 	return total, perProgram
 }
 
-// run sends rate requests a second until ctx ends.
+// run sends rate requests per second until ctx ends.
 func (t *traffic) run(ctx context.Context, rate float64) {
 	start, sent := time.Now(), 0
 	ticker := time.NewTicker(2 * time.Millisecond)
@@ -200,7 +204,8 @@
 	}
 }
 
-// request is a client's request for a class.
+// newRequest returns a request for a class. kind is read, keyed (with an idempotency key) or unsafe; serial
+// is the request ID.
 func (t *traffic) newRequest(target *realBalancer, class, kind string, serial uint64) *http.Request {
 	method, body := http.MethodPost, "body"
 	if kind == "read" {
@@ -208,7 +213,7 @@
 	}
 	r, err := http.NewRequest(method, "http://"+target.spec.Listen+"/"+class, strings.NewReader(body))
 	if err != nil {
-		panic(err) // the address has been listened on
+		panic(err) // the URL is always valid
 	}
 	r.Header.Set("X-Request-Id", fmt.Sprintf("%016x", serial))
 	r.Header.Set("X-Class", class)
@@ -222,7 +227,7 @@
 	return r
 }
 
-// one sends one request. Where a balancer refuses the connection, another one is asked, as a front does.
+// send sends one request and records the result. If it cannot connect to a balancer it tries another one.
 func (t *traffic) send() {
 	serial := t.lastRequest.Add(1)
 	class := int(serial) % t.classes
@@ -262,13 +267,13 @@
 	}
 }
 
-// tellUnserved logs a request that was not served, by the id under which its balancer and its upstream had it.
+// logNotServed logs a request that was not served, with its X-Request-Id.
 func (t *traffic) logNotServed(serial uint64, kind string, i int, status string, start time.Time) {
 	slog.Info("request not served", "request", fmt.Sprintf("%016x", serial), "kind", kind, "balancer", t.realBalancers[i].spec.Name,
 		"zone", t.realBalancers[i].spec.Zone, "answer", status, "after", time.Since(start))
 }
 
-// describe is how a request without an answer ended.
+// describeRequestError returns the status under which a request without a response is counted.
 func describeRequestError(err error) string {
 	var e net.Error
 	switch {
@@ -280,7 +285,7 @@
 	return "failed: " + err.Error()
 }
 
-// note counts a request that balancer i had last.
+// record counts a request whose last balancer was i.
 func (t *traffic) record(i int, status string, addedLatency time.Duration, moved int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,8 +293,8 @@
 	t.byProgram[i%len(t.byProgram)].record(status, addedLatency, moved)
 }
 
-// probe asks one balancer for a class every so often until it serves it, at most until a moment. It tells when it did, and
-// the last status.
+// awaitClass sends requests for a class to balancer i until it serves one or deadline has passed. It returns
+// when that was, or the zero time, and the last status.
 func (t *traffic) awaitClass(i int, class string, deadline time.Time) (servedAt time.Time, status string) {
 	for time.Now().Before(deadline) {
 		resp, err := t.clients[i].Do(t.newRequest(t.realBalancers[i], class, "read", t.lastRequest.Add(1)))
