--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -29,7 +29,7 @@
 	role := pflag.String("role", "", "role of a child process, discovery or hollow; set by the command itself")
 	jsonPath := pflag.String("json", "", "file to which to write the results as JSON")
 	pflag.StringSliceVar(&options.Slopes, "slope", nil, "slopes to measure: all, "+strings.Join(slopes, ", "))
-	pflag.BoolVar(&options.Within, "in-process", false, "measure the slopes of calls within one process; takes about three minutes")
+	pflag.BoolVar(&options.MeasureInProcess, "in-process", false, "measure the slopes of calls within one process; takes about three minutes")
 	pflag.StringSliceVar(&options.Scenes, "scene", nil, "scenes to run: all, "+strings.Join(scenes, ", "))
 	pflag.IntVar(&options.Size.Hollow, "balancers", 0, "number of hollow balancers in scenes, and in slopes that do not vary it (0: 24 in scenes)")
 	pflag.IntVar(&options.Size.Balancers, "fleet", 0, "number of balancers in the settings (0: 950)")
@@ -41,11 +41,11 @@
 	pflag.Float64Var(&options.Size.Rate, "rate", 0, "requests per second, over all real balancers (0: 240)")
 	pflag.DurationVar(&options.Size.Costs.Call, "call-cost", 0, "time that a discovery server takes for each call; calls are served one at a time")
 	pflag.DurationVar(&options.Size.Costs.Entry, "entry-cost", 0, "additional time that a discovery server takes for each entry of its response")
-	pflag.DurationVar(&options.For, "for", 10*time.Second, "duration of each phase of a slope, and of the changes in the scene settings")
-	pflag.DurationVar(&options.Every, "every", 3*time.Second, "interval between changes of the settings in the scene settings")
-	pflag.DurationVar(&options.Cut, "cut", 3*time.Minute, "how long discovery is unavailable in the scene cut")
+	pflag.DurationVar(&options.PhaseDuration, "for", 10*time.Second, "duration of each phase of a slope, and of the changes in the scene settings")
+	pflag.DurationVar(&options.SettingsInterval, "every", 3*time.Second, "interval between changes of the settings in the scene settings")
+	pflag.DurationVar(&options.CutDuration, "cut", 3*time.Minute, "how long discovery is unavailable in the scene cut")
 	pflag.StringVar(&options.Program, "program", "", "path of the olivearch program (empty: build it)")
-	pflag.StringVar(&options.Before, "before", "", "path of an older olivearch program, run by every second real balancer for comparison")
+	pflag.StringVar(&options.OlderProgram, "before", "", "path of an older olivearch program, run by every second real balancer for comparison")
 	soakSeeds := pflag.Int("soak", 0, "number of seeds for which to run the soak test of restarts, instead of slopes and scenes")
 	firstSeed := pflag.Uint64("seed", 1, "first seed of the soak test")
 	parallelSeeds := pflag.Int("beside", 4, "number of seeds of the soak test that run at the same time")
@@ -54,16 +54,16 @@
 		return scale.ServeRole(*role)
 	}
 	if *soakSeeds > 0 {
-		return scale.Soaks(options.Program, *firstSeed, *soakSeeds, *parallelSeeds, os.Stdout)
+		return scale.RunSoaks(options.Program, *firstSeed, *soakSeeds, *parallelSeeds, os.Stdout)
 	}
-	if len(options.Slopes)+len(options.Scenes) == 0 && !options.Within {
+	if len(options.Slopes)+len(options.Scenes) == 0 && !options.MeasureInProcess {
 		options.Slopes, options.Scenes = []string{"all"}, []string{"settings", "zone", "restart"}
 	}
 	result, err := scale.Start(options)
 	if result == nil {
 		return err
 	}
-	result.Table(os.Stdout)
+	result.WriteTables(os.Stdout)
 	if *jsonPath != "" {
 		if writeErr := result.WriteJSON(*jsonPath); writeErr != nil {
 			return writeErr
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -36,7 +36,7 @@
 		t.Fatalf("got scenes %+v, want one scene with two phases", r.Scenes)
 	}
 	p := r.Scenes[0].Phases[1]
-	if p.Clients.Statuses["200"] == 0 || p.Spent.HollowCPU == 0 || p.Spent.RealRSS == 0 || r.MemoryMB == 0 {
+	if p.Clients.Statuses["200"] == 0 || p.Spent.HollowCPU == 0 || p.Spent.RealRSS == 0 || r.PeakMemoryMB == 0 {
 		t.Errorf("a measured value is zero: %+v", p)
 	}
 	if !strings.Contains(string(out), "scene settings: 2 hollow and 1 real balancers, 14 upstreams") {
@@ -46,7 +46,7 @@
 
 // TestBadFlags checks that invalid options are rejected before anything is started.
 func TestBadFlags(t *testing.T) {
-	for _, o := range []scale.Options{{Slopes: []string{"x"}, For: 1}, {Scenes: []string{"x"}, For: 1}, {}, {For: -1}} {
+	for _, o := range []scale.Options{{Slopes: []string{"x"}, PhaseDuration: 1}, {Scenes: []string{"x"}, PhaseDuration: 1}, {}, {PhaseDuration: -1}} {
 		if r, err := scale.Start(o); err == nil || r != nil {
 			t.Errorf("options %+v: error %v", o, err)
 		}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -23,24 +23,24 @@
 const (
 	// fitNoise is the relative error, as a root of the mean square, up to which a form fits: runs of one point differ as
 	// much. A simpler form is also taken if it errs by no more than fitMargin times the best one's error.
-	fitNoise  = 0.05
-	fitMargin = 1.25
+	fitTolerance      = 0.05
+	simplerFormMargin = 1.25
 	// WorstAllowed is the relative error from which on a point does not fit, and is shown.
-	WorstAllowed = 0.25
+	MaxPointError = 0.25
 )
 
 // Fit is the form that a row of points was found to have: A + B*g(n), where g is 0, n, n*ln(n) or n*n.
 type Fit struct {
-	Form Form    `json:"form"`
-	A    float64 `json:"a"`
-	B    float64 `json:"b"`
-	RMS  float64 `json:"rms"` // relative error, as a root of the mean square
+	Form        Form    `json:"form"`
+	Intercept   float64 `json:"a"`
+	Coefficient float64 `json:"b"`
+	RMS         float64 `json:"rms"` // relative error, as a root of the mean square
 	// Worst is the largest relative error, (measured - fitted) / measured, without its sign; it is that of the point
 	// WorstX, WorstY. Fits is false if it is over WorstAllowed.
-	Worst  float64 `json:"worst"`
-	WorstX float64 `json:"worst_x"`
-	WorstY float64 `json:"worst_y"`
-	Fits   bool    `json:"fits"`
+	WorstError float64 `json:"worst"`
+	WorstX     float64 `json:"worst_x"`
+	WorstY     float64 `json:"worst_y"`
+	Fits       bool    `json:"fits"`
 }
 
 // FitPoints finds the simplest form that fits the points within their noise, by least squares of the relative error: a
@@ -53,16 +53,16 @@
 		return Fit{}
 	}
 	x, y = x[:n], y[:n]
-	fits := []Fit{fitted(Constant, x, y)}
+	fits := []Fit{fitForm(Constant, x, y)}
 	if n > 1 {
-		fits = append(fits, fitted(Linear, x, y), fitted(NLogN, x, y), fitted(Square, x, y))
+		fits = append(fits, fitForm(Linear, x, y), fitForm(NLogN, x, y), fitForm(Square, x, y))
 	}
 	best := fits[0].RMS
 	for _, f := range fits {
 		best = min(best, f.RMS)
 	}
 	for _, f := range fits {
-		if f.RMS <= max(fitNoise, fitMargin*best) {
+		if f.RMS <= max(fitTolerance, simplerFormMargin*best) {
 			return f
 		}
 	}
@@ -70,14 +70,14 @@
 }
 
 // At is the figure that the fit gives for n.
-func (f Fit) At(n float64) float64 { return f.A + f.B*f.Form.of(n) }
+func (f Fit) At(n float64) float64 { return f.Intercept + f.Coefficient*f.Form.basis(n) }
 
 // String is the fit as tables show it.
 func (f Fit) String() string {
 	if f.Form == NoForm {
 		return "no points"
 	}
-	text := fmt.Sprintf("%s, worst error %.0f%%", f.formula(), 100*f.Worst)
+	text := fmt.Sprintf("%s, worst error %.0f%%", f.formula(), 100*f.WorstError)
 	if !f.Fits {
 		text += fmt.Sprintf(", does not fit at n=%s (%s)", digits(f.WorstX), digits(f.WorstY))
 	}
@@ -87,9 +87,9 @@
 // formula is A + B*g(n) in words.
 func (f Fit) formula() string {
 	if f.Form == Constant {
-		return "constant " + digits(f.A)
+		return "constant " + digits(f.Intercept)
 	}
-	return fmt.Sprintf("%s %s + %s*%s", f.Form, digits(f.A), digits(f.B), map[Form]string{Linear: "n", NLogN: "n*ln(n)",
+	return fmt.Sprintf("%s %s + %s*%s", f.Form, digits(f.Intercept), digits(f.Coefficient), map[Form]string{Linear: "n", NLogN: "n*ln(n)",
 		Square: "n*n"}[f.Form])
 }
 
@@ -97,7 +97,7 @@
 func digits(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
 
 // of is the part of the form that grows.
-func (f Form) of(n float64) float64 {
+func (f Form) basis(n float64) float64 {
 	switch f {
 	case Linear:
 		return n
@@ -111,36 +111,36 @@
 
 // fitted is the best fit of one form. Each point is weighed by the inverse of its square, which makes errors relative;
 // one at zero as if it were a thousandth of the largest.
-func fitted(form Form, x, y []float64) Fit {
-	most := 0.0
+func fitForm(form Form, x, y []float64) Fit {
+	largest := 0.0
 	for _, v := range y {
-		most = max(most, math.Abs(v))
+		largest = max(largest, math.Abs(v))
 	}
-	scale := func(i int) float64 { return max(math.Abs(y[i]), most/1000, math.SmallestNonzeroFloat32) }
-	var w, g, gg, v, gv float64 // weighted sums of 1, g, g*g, y, g*y
+	magnitude := func(i int) float64 { return max(math.Abs(y[i]), largest/1000, math.SmallestNonzeroFloat32) }
+	var sumW, sumG, sumGG, sumY, sumGY float64 // weighted sums of 1, g, g*g, y, g*y
 	for i := range x {
-		k, gx := 1/(scale(i)*scale(i)), form.of(x[i])
-		w, g, gg, v, gv = w+k, g+k*gx, gg+k*gx*gx, v+k*y[i], gv+k*gx*y[i]
+		weight, g := 1/(magnitude(i)*magnitude(i)), form.basis(x[i])
+		sumW, sumG, sumGG, sumY, sumGY = sumW+weight, sumG+weight*g, sumGG+weight*g*g, sumY+weight*y[i], sumGY+weight*g*y[i]
 	}
-	f := Fit{Form: form, A: v / w}
-	if d := w*gg - g*g; form != Constant && d > 0 {
-		f.B = (w*gv - g*v) / d
-		switch f.A = (v - f.B*g) / w; {
-		case f.B < 0:
-			f.A, f.B = v/w, 0
-		case f.A < 0:
-			f.A, f.B = 0, max(0, gv/gg)
+	f := Fit{Form: form, Intercept: sumY / sumW}
+	if determinant := sumW*sumGG - sumG*sumG; form != Constant && determinant > 0 {
+		f.Coefficient = (sumW*sumGY - sumG*sumY) / determinant
+		switch f.Intercept = (sumY - f.Coefficient*sumG) / sumW; {
+		case f.Coefficient < 0:
+			f.Intercept, f.Coefficient = sumY/sumW, 0
+		case f.Intercept < 0:
+			f.Intercept, f.Coefficient = 0, max(0, sumGY/sumGG)
 		}
 	}
-	f.A = max(f.A, 0)
-	sum := 0.0
+	f.Intercept = max(f.Intercept, 0)
+	sumSquares := 0.0
 	for i := range x {
-		e := math.Abs(y[i]-f.At(x[i])) / scale(i)
-		if sum += e * e; i == 0 || e > f.Worst {
-			f.Worst, f.WorstX, f.WorstY = e, x[i], y[i]
+		e := math.Abs(y[i]-f.At(x[i])) / magnitude(i)
+		if sumSquares += e * e; i == 0 || e > f.WorstError {
+			f.WorstError, f.WorstX, f.WorstY = e, x[i], y[i]
 		}
 	}
-	f.RMS = math.Sqrt(sum / float64(len(x)))
-	f.Fits = f.Worst <= WorstAllowed
+	f.RMS = math.Sqrt(sumSquares / float64(len(x)))
+	f.Fits = f.WorstError <= MaxPointError
 	return f
 }
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-var sizes = []float64{875, 1750, 3500, 7000, 14000}
+var fitSizes = []float64{875, 1750, 3500, 7000, 14000}
 
 // points are the values of a form, each off by the errors in turn.
-func points(x []float64, of func(n float64) float64, errs ...float64) []float64 {
+func pointValues(x []float64, value func(n float64) float64, errs ...float64) []float64 {
 	y := make([]float64, len(x))
 	for i, n := range x {
-		y[i] = of(n)
+		y[i] = value(n)
 		if len(errs) > 0 {
 			y[i] *= 1 + errs[i%len(errs)]
 		}
@@ -21,64 +21,64 @@
 	return y
 }
 
-func TestFitFindsTheForm(t *testing.T) {
+func TestFitFindsForm(t *testing.T) {
 	noise := []float64{0.03, -0.02, 0.01, -0.03, 0.02}
 	for _, c := range []struct {
-		name string
-		form Form
-		of   func(n float64) float64
-		x    []float64
+		name  string
+		form  Form
+		value func(n float64) float64
+		x     []float64
 	}{
-		{"constant", Constant, func(float64) float64 { return 40 }, sizes},
-		{"linear", Linear, func(n float64) float64 { return 100 + 0.2*n }, sizes},
-		{"linear from nothing", Linear, func(n float64) float64 { return 3 * n }, sizes},
+		{"constant", Constant, func(float64) float64 { return 40 }, fitSizes},
+		{"linear", Linear, func(n float64) float64 { return 100 + 0.2*n }, fitSizes},
+		{"linear from nothing", Linear, func(n float64) float64 { return 3 * n }, fitSizes},
 		{"n log n over a wide range", NLogN, func(n float64) float64 { return n * math.Log(n) }, []float64{2, 16, 256, 4096, 65536}},
-		{"square", Square, func(n float64) float64 { return 5 + 0.001*n*n }, sizes},
+		{"square", Square, func(n float64) float64 { return 5 + 0.001*n*n }, fitSizes},
 	} {
 		for _, errs := range [][]float64{nil, noise} {
-			f := FitPoints(c.x, points(c.x, c.of, errs...))
-			if f.Form != c.form || !f.Fits || f.Worst > 0.1 {
+			f := FitPoints(c.x, pointValues(c.x, c.value, errs...))
+			if f.Form != c.form || !f.Fits || f.WorstError > 0.1 {
 				t.Errorf("%s with errors %v: %v", c.name, errs, f)
 			}
 			at := c.x[len(c.x)-1] * 2
-			if want := c.of(at); math.Abs(f.At(at)-want) > 0.12*want {
+			if want := c.value(at); math.Abs(f.At(at)-want) > 0.12*want {
 				t.Errorf("%s with errors %v: At(%v) = %v, want about %v", c.name, errs, at, f.At(at), want)
 			}
 		}
 	}
 }
 
-func TestFitPrefersTheSimplerFormWithinNoise(t *testing.T) {
-	y := points(sizes, func(n float64) float64 { return 1000 + 0.002*n }, 0.04, -0.04, 0.04, -0.04, 0.04)
-	if f := FitPoints(sizes, y); f.Form != Constant {
+func TestFitPrefersSimplerFormWithinTolerance(t *testing.T) {
+	y := pointValues(fitSizes, func(n float64) float64 { return 1000 + 0.002*n }, 0.04, -0.04, 0.04, -0.04, 0.04)
+	if f := FitPoints(fitSizes, y); f.Form != Constant {
 		t.Errorf("a growth of 3%% under noise of 4%%: %v", f)
 	}
 }
 
-func TestFitShowsThePointThatDoesNotFit(t *testing.T) {
-	y := points(sizes, func(n float64) float64 { return n })
+func TestFitReportsWorstPoint(t *testing.T) {
+	y := pointValues(fitSizes, func(n float64) float64 { return n })
 	y[2] *= 3
-	f := FitPoints(sizes, y)
-	if f.Fits || f.Worst <= WorstAllowed || !strings.Contains(f.String(), "does not fit at n=") {
+	f := FitPoints(fitSizes, y)
+	if f.Fits || f.WorstError <= MaxPointError || !strings.Contains(f.String(), "does not fit at n=") {
 		t.Errorf("a point three times off: %v", f)
 	}
-	f = FitPoints(sizes, points(sizes, func(n float64) float64 { return n * n * n }))
+	f = FitPoints(fitSizes, pointValues(fitSizes, func(n float64) float64 { return n * n * n }))
 	if f.Fits || f.Form != Square {
 		t.Errorf("a cube: %v, want the steepest form, not fitting", f)
 	}
-	if f := FitPoints(sizes, points(sizes, func(n float64) float64 { return 1e6 / n })); f.Fits {
+	if f := FitPoints(fitSizes, pointValues(fitSizes, func(n float64) float64 { return 1e6 / n })); f.Fits {
 		t.Errorf("a falling figure: %v", f)
 	}
 }
 
-func TestFitHasNoNegativePart(t *testing.T) {
-	for _, of := range []func(n float64) float64{
+func TestFitCoefficientsAreNotNegative(t *testing.T) {
+	for _, value := range []func(n float64) float64{
 		func(n float64) float64 { return 2*n - 1500 },
 		func(n float64) float64 { return 20000 - n },
 		func(float64) float64 { return 0 },
 		func(n float64) float64 { return -n },
 	} {
-		if f := FitPoints(sizes, points(sizes, of)); f.A < 0 || f.B < 0 || f.At(1) < 0 {
+		if f := FitPoints(fitSizes, pointValues(fitSizes, value)); f.Intercept < 0 || f.Coefficient < 0 || f.At(1) < 0 {
 			t.Errorf("%v", f)
 		}
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -248,7 +248,7 @@
 	failed = append(failed, err)
 	x.own, err = ownUsage(false)
 	failed = append(failed, err)
-	x.cores, err = coresBusy()
+	x.cores, err = processorBusyTime()
 	x.at = time.Now()
 	return x, errors.Join(append(failed, err)...)
 }
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -24,31 +24,33 @@
 
 // What is held while another figure varies: small, so that it does not hide what varies.
 const (
-	heldUpstreams = 300
-	heldClasses   = 3
-	heldTenants   = 3
+	fixedUpstreams = 300
+	fixedClasses   = 3
+	fixedTenants   = 3
 )
 
-const peak = 150000 // requests a second to the whole fleet, from the letter
+const fleetRequestRate = 150000 // requests a second to the whole fleet, from the letter
 
 // batchTime is the processor time of a batch: many times what its reading errs by.
-var batchTime = 25 * time.Millisecond
+var minBatchTime = 25 * time.Millisecond
 
 const (
-	batchMost = 1 << 16 // calls in a batch
-	batches   = 5       // of which the cheapest counts: others use the core too
-	liveRuns  = 3       // of which the smallest counts
+	maxBatchCalls = 1 << 16 // calls in a batch
+	batchCount    = 5       // of which the cheapest counts: others use the core too
+	heapRuns      = 3       // of which the smallest counts
 )
 
 var (
-	upstreamSizes = eighths(Upstreams)
-	classSizes    = eighths(Classes)
-	tenantSizes   = eighths(Tenants)
-	sixteenths    = eighths(16)
+	upstreamSizes  = doublingSizes(Upstreams)
+	classSizes     = doublingSizes(Classes)
+	tenantSizes    = doublingSizes(Tenants)
+	sixteenthSizes = doublingSizes(16)
 )
 
 // eighths are five sizes, each twice the one before, up to most.
-func eighths(most int) []int { return []int{most / 16, most / 8, most / 4, most / 2, most} }
+func doublingSizes(largest int) []int {
+	return []int{largest / 16, largest / 8, largest / 4, largest / 2, largest}
+}
 
 // inProcessRuns is how often a run takes all of these slopes.
 const inProcessRuns = 3
@@ -59,14 +61,14 @@
 func InProcessSlopes(runs int, progress func(string)) []Slope {
 	var slopes []Slope
 	for run := range runs {
-		for i, m := range inProcess {
+		for i, m := range inProcessMeasurements {
 			if progress != nil {
-				progress(fmt.Sprintf("run %d of %d: %s, over %s", run+1, runs, m.name, m.varied))
+				progress(fmt.Sprintf("run %d of %d: %s, over %s", run+1, runs, m.name, m.variable))
 			}
 			if s := m.slope(); run == 0 {
 				slopes = append(slopes, s)
 			} else {
-				slopes[i] = slopes[i].least(s)
+				slopes[i] = slopes[i].lowest(s)
 			}
 		}
 	}
@@ -75,74 +77,74 @@
 
 // measurement is a slope to take: at gives the figure for one size.
 type measurement struct {
-	name, unit, varied, note string
-	sizes                    []int
-	at                       func(n int) (float64, error)
+	name, unit, variable, note string
+	sizes                      []int
+	measure                    func(n int) (float64, error)
 }
 
 func (m measurement) slope() Slope {
 	var x, y []float64
 	for _, n := range m.sizes {
-		v, err := m.at(n)
+		v, err := m.measure(n)
 		if err != nil {
-			return Slope{Name: m.name, Unit: m.unit, Varied: m.varied, Note: fmt.Sprintf("not run: at %d: %v", n, err)}
+			return Slope{Name: m.name, Unit: m.unit, Variable: m.variable, Note: fmt.Sprintf("not run: at %d: %v", n, err)}
 		}
 		x, y = append(x, float64(n)), append(y, v)
 	}
-	s := NewSlope(m.name, m.unit, m.varied, x, y)
+	s := NewSlope(m.name, m.unit, m.variable, x, y)
 	s.Note = m.note
 	return s
 }
 
 const (
-	cheapest  = "processor time with what the collector takes; the cheapest of 5 batches"
-	leastLive = "live after a collection, the least of 3"
+	lowestBatchNote = "processor time with what the collector takes; the cheapest of 5 batches"
+	lowestHeapNote  = "live after a collection, the least of 3"
 )
 
-var inProcess = []measurement{
-	{"step: the module each second, at rest", "ms", "upstreams", cheapest, upstreamSizes,
-		func(n int) (float64, error) { return secondly(n, heldTenants, false) }},
-	{"step: the module each second, with an answer that reports its server's rate", "ms", "tenants", cheapest, tenantSizes,
-		func(n int) (float64, error) { return secondly(heldUpstreams, n, true) }},
-	{"tick: the module between steps, at rest", "ms", "upstreams", cheapest, upstreamSizes, tick},
-	{"change: one upstream drains or is up again", "ms", "upstreams", cheapest + "; the module alone, not the loop", upstreamSizes, change},
-	{"whole list: applied by the module, nothing changed", "ms", "upstreams", cheapest, upstreamSizes, wholeList},
-	{"whole list: decoded", "ms", "upstreams", cheapest + "; entries of the client's shape, checked and sorted as it does", upstreamSizes,
-		listDecode},
-	{"whole list: size", "KB", "upstreams", "as discovery would write it, not indented", upstreamSizes, listSize},
-	{"request: taken, sent and answered", "us", "upstreams", cheapest + "; the module alone", upstreamSizes, requestCost},
-	{"New", "ms", "classes", cheapest, classSizes, func(n int) (float64, error) { return newCost(n, heldTenants) }},
-	{"New", "ms", "tenants", cheapest, tenantSizes, func(n int) (float64, error) { return newCost(heldClasses, n) }},
-	{"settings: LoadConfig", "ms", "classes", cheapest, classSizes, func(n int) (float64, error) { return loadCost(n, heldTenants, 0) }},
-	{"settings: LoadConfig", "ms", "tenants", cheapest, tenantSizes, func(n int) (float64, error) { return loadCost(heldClasses, n, 0) }},
-	{"settings: wire.DecodeSettings", "ms", "classes", cheapest, classSizes, func(n int) (float64, error) { return decodeCost(n, heldTenants) }},
-	{"settings: wire.DecodeSettings", "ms", "tenants", cheapest, tenantSizes, func(n int) (float64, error) { return decodeCost(heldClasses, n) }},
-	{"settings: size of the file", "KB", "classes", "compact", classSizes, func(n int) (float64, error) { return fileSize(n, heldTenants, 0) }},
-	{"settings: size of the file", "KB", "tenants", "compact", tenantSizes, func(n int) (float64, error) { return fileSize(heldClasses, n, 0) }},
-	{"settings: allocated by LoadConfig", "MB", "tenants", "what is allocated in all, freed meanwhile or not", tenantSizes, loadAllocated},
-	{"memory: Balancer with its list", "MB", "upstreams", leastLive, upstreamSizes,
-		func(n int) (float64, error) { return liveMemory(n, heldClasses, heldTenants) }},
-	{"memory: Balancer with its settings", "MB", "classes", leastLive, classSizes,
-		func(n int) (float64, error) { return liveMemory(heldUpstreams, n, heldTenants) }},
-	{"memory: Balancer with its settings", "MB", "tenants", leastLive, tenantSizes,
-		func(n int) (float64, error) { return liveMemory(heldUpstreams, heldClasses, n) }},
-	{"whole configuration: LoadConfig", "ms", "sixteenths of the fleet ahead", cheapest, sixteenths,
-		func(n int) (float64, error) { return loadCost(Classes*n/16, Tenants*n/16, Upstreams*n/16) }},
-	{"whole configuration: size of the file", "KB", "sixteenths of the fleet ahead", "compact, with the list", sixteenths,
-		func(n int) (float64, error) { return fileSize(Classes*n/16, Tenants*n/16, Upstreams*n/16) }},
-	{"whole configuration: New", "ms", "sixteenths of the fleet ahead", cheapest, sixteenths,
-		func(n int) (float64, error) { return newCost(Classes*n/16, Tenants*n/16) }},
-	{"whole configuration: memory of the Balancer", "MB", "sixteenths of the fleet ahead", leastLive, sixteenths,
-		func(n int) (float64, error) { return liveMemory(Upstreams*n/16, Classes*n/16, Tenants*n/16) }},
-	{"reload: NewPlan, away from the loop", "ms", "sixteenths of the fleet ahead", cheapest, sixteenths, planCost},
-	{"reload: Plan.Since, away from the loop", "ms", "sixteenths of the fleet ahead", cheapest, sixteenths, compareCost},
-	{"reload: Reconfigure, on the loop", "us", "sixteenths of the fleet ahead", cheapest + "; two of them, one class and one tenant changed to and fro", sixteenths,
+var inProcessMeasurements = []measurement{
+	{"step: the module each second, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes,
+		func(n int) (float64, error) { return stepCost(n, fixedTenants, false) }},
+	{"step: the module each second, with an answer that reports its server's rate", "ms", "tenants", lowestBatchNote, tenantSizes,
+		func(n int) (float64, error) { return stepCost(fixedUpstreams, n, true) }},
+	{"tick: the module between steps, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes, tick},
+	{"change: one upstream drains or is up again", "ms", "upstreams", lowestBatchNote + "; the module alone, not the loop", upstreamSizes, changeCost},
+	{"whole list: applied by the module, nothing changed", "ms", "upstreams", lowestBatchNote, upstreamSizes, fullListCost},
+	{"whole list: decoded", "ms", "upstreams", lowestBatchNote + "; entries of the client's shape, checked and sorted as it does", upstreamSizes,
+		listDecodeCost},
+	{"whole list: size", "KB", "upstreams", "as discovery would write it, not indented", upstreamSizes, listSizeKB},
+	{"request: taken, sent and answered", "us", "upstreams", lowestBatchNote + "; the module alone", upstreamSizes, requestCost},
+	{"New", "ms", "classes", lowestBatchNote, classSizes, func(n int) (float64, error) { return newBalancerCost(n, fixedTenants) }},
+	{"New", "ms", "tenants", lowestBatchNote, tenantSizes, func(n int) (float64, error) { return newBalancerCost(fixedClasses, n) }},
+	{"settings: LoadConfig", "ms", "classes", lowestBatchNote, classSizes, func(n int) (float64, error) { return loadConfigCost(n, fixedTenants, 0) }},
+	{"settings: LoadConfig", "ms", "tenants", lowestBatchNote, tenantSizes, func(n int) (float64, error) { return loadConfigCost(fixedClasses, n, 0) }},
+	{"settings: wire.DecodeSettings", "ms", "classes", lowestBatchNote, classSizes, func(n int) (float64, error) { return decodeSettingsCost(n, fixedTenants) }},
+	{"settings: wire.DecodeSettings", "ms", "tenants", lowestBatchNote, tenantSizes, func(n int) (float64, error) { return decodeSettingsCost(fixedClasses, n) }},
+	{"settings: size of the file", "KB", "classes", "compact", classSizes, func(n int) (float64, error) { return configSizeKB(n, fixedTenants, 0) }},
+	{"settings: size of the file", "KB", "tenants", "compact", tenantSizes, func(n int) (float64, error) { return configSizeKB(fixedClasses, n, 0) }},
+	{"settings: allocated by LoadConfig", "MB", "tenants", "what is allocated in all, freed meanwhile or not", tenantSizes, loadConfigAllocatedMB},
+	{"memory: Balancer with its list", "MB", "upstreams", lowestHeapNote, upstreamSizes,
+		func(n int) (float64, error) { return balancerHeapMB(n, fixedClasses, fixedTenants) }},
+	{"memory: Balancer with its settings", "MB", "classes", lowestHeapNote, classSizes,
+		func(n int) (float64, error) { return balancerHeapMB(fixedUpstreams, n, fixedTenants) }},
+	{"memory: Balancer with its settings", "MB", "tenants", lowestHeapNote, tenantSizes,
+		func(n int) (float64, error) { return balancerHeapMB(fixedUpstreams, fixedClasses, n) }},
+	{"whole configuration: LoadConfig", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes,
+		func(n int) (float64, error) { return loadConfigCost(Classes*n/16, Tenants*n/16, Upstreams*n/16) }},
+	{"whole configuration: size of the file", "KB", "sixteenths of the fleet ahead", "compact, with the list", sixteenthSizes,
+		func(n int) (float64, error) { return configSizeKB(Classes*n/16, Tenants*n/16, Upstreams*n/16) }},
+	{"whole configuration: New", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes,
+		func(n int) (float64, error) { return newBalancerCost(Classes*n/16, Tenants*n/16) }},
+	{"whole configuration: memory of the Balancer", "MB", "sixteenths of the fleet ahead", lowestHeapNote, sixteenthSizes,
+		func(n int) (float64, error) { return balancerHeapMB(Upstreams*n/16, Classes*n/16, Tenants*n/16) }},
+	{"reload: NewPlan, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes, newPlanCost},
+	{"reload: Plan.Since, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes, planSinceCost},
+	{"reload: Reconfigure, on the loop", "us", "sixteenths of the fleet ahead", lowestBatchNote + "; two of them, one class and one tenant changed to and fro", sixteenthSizes,
 		reconfigureCost},
-	{"reload: memory of the Balancer with the old plan and the new one", "MB", "sixteenths of the fleet ahead", leastLive, sixteenths, twoPlans},
+	{"reload: memory of the Balancer with the old plan and the new one", "MB", "sixteenths of the fleet ahead", lowestHeapNote, sixteenthSizes, twoPlansHeapMB},
 	{"quota: taken for over it, requests through all of n balancers", "%", "balancers", quotaNote, []int{1, 3, 14, 30, 135, 950},
-		func(n int) (float64, error) { return quotaShare(n, n, quotaFor) }},
+		func(n int) (float64, error) { return overQuotaPercent(n, n, quotaDuration) }},
 	{"quota: taken for over it, requests through n of 950 balancers", "%", "balancers used", quotaNote, []int{8, 30, 135, 950},
-		func(n int) (float64, error) { return quotaShare(Balancers, n, quotaFor) }},
+		func(n int) (float64, error) { return overQuotaPercent(Balancers, n, quotaDuration) }},
 }
 
 const quotaNote = "a tenant with a quota of 2.1/s that asks for 80% of it, by chance and evenly; the same each time"
@@ -150,7 +152,7 @@
 // --- The means of measuring ---
 
 // spent is the processor time that this process has had.
-func spent() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0 // it fails for wrong arguments only
@@ -159,50 +161,50 @@
 }
 
 // cost is the processor time of one call of op, what the collector takes for it included: the cheapest batch's mean.
-func cost(op func()) time.Duration {
+func cpuPerCall(op func()) time.Duration {
 	op() // what the first call alone costs is no slope
-	best := time.Duration(0)
-	for calls, run := 1, 0; run < batches; {
+	lowest := time.Duration(0)
+	for calls, run := 1, 0; run < batchCount; {
 		runtime.GC()
-		from := spent()
+		start := processCPUTime()
 		for range calls {
 			op()
 		}
-		took := spent() - from
-		if took < batchTime && calls < batchMost {
+		used := processCPUTime() - start
+		if used < minBatchTime && calls < maxBatchCalls {
 			calls *= 2
 			continue
 		}
-		if each := took / time.Duration(calls); run == 0 || each < best {
-			best = each
+		if mean := used / time.Duration(calls); run == 0 || mean < lowest {
+			lowest = mean
 		}
 		run++
 	}
-	return best
+	return lowest
 }
 
-func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // live is what made holds, in MB, after a collection.
-func live(made func() (any, error)) (float64, error) {
-	best := 0.0
-	for run := range liveRuns {
-		before := heap()
-		x, err := made()
+func retainedMB(build func() (any, error)) (float64, error) {
+	lowest := 0.0
+	for run := range heapRuns {
+		before := liveHeapMB()
+		value, err := build()
 		if err != nil {
 			return 0, err
 		}
-		held := heap() - before
-		runtime.KeepAlive(x)
-		if run == 0 || held < best {
-			best = held
+		retained := liveHeapMB() - before
+		runtime.KeepAlive(value)
+		if run == 0 || retained < lowest {
+			lowest = retained
 		}
 	}
-	return best, nil
+	return lowest, nil
 }
 
 // heap is the live heap in MB.
-func heap() float64 {
+func liveHeapMB() float64 {
 	runtime.GC()
 	runtime.GC() // what finalizers and pools held on to
 	var m runtime.MemStats
@@ -211,29 +213,29 @@
 }
 
 // host is a garnettide.Host that does nothing but note what was asked last.
-type host struct {
+type recordingHost struct {
 	sent, refused int // how often
 	id            garnettide.RequestID
-	up            garnettide.UpstreamID
+	upstream      garnettide.UpstreamID
 	tick          uint64 // token of the first timer: the row of ticks
-	timers        int
+	timerCount    int
 }
 
-var _ garnettide.Host = (*host)(nil)
+var _ garnettide.Host = (*recordingHost)(nil)
 
-func (h *host) Send(id garnettide.RequestID, up garnettide.UpstreamID, _, _ time.Duration) {
-	h.sent, h.id, h.up = h.sent+1, id, up
+func (h *recordingHost) Send(id garnettide.RequestID, upstream garnettide.UpstreamID, _, _ time.Duration) {
+	h.sent, h.id, h.upstream = h.sent+1, id, upstream
 }
-func (h *host) Refuse(garnettide.RequestID, time.Duration) { h.refused++ }
-func (h *host) Fail(garnettide.RequestID)                  {}
-func (h *host) Cancel(garnettide.RequestID, int)           {}
-func (h *host) Probe(garnettide.UpstreamID)                {}
-func (h *host) Disconnect(garnettide.UpstreamID)           {}
-func (h *host) Watch(bool)                                 {}
-func (h *host) Fetch()                                     {}
-func (h *host) Log(string)                                 {}
-func (h *host) SetTimer(_ time.Duration, token uint64) {
-	if h.timers++; h.timers == 1 {
+func (h *recordingHost) Refuse(garnettide.RequestID, time.Duration) { h.refused++ }
+func (h *recordingHost) Fail(garnettide.RequestID)                  {}
+func (h *recordingHost) Cancel(garnettide.RequestID, int)           {}
+func (h *recordingHost) Probe(garnettide.UpstreamID)                {}
+func (h *recordingHost) Disconnect(garnettide.UpstreamID)           {}
+func (h *recordingHost) Watch(bool)                                 {}
+func (h *recordingHost) Fetch()                                     {}
+func (h *recordingHost) Log(string)                                 {}
+func (h *recordingHost) SetTimer(_ time.Duration, token uint64) {
+	if h.timerCount++; h.timerCount == 1 {
 		h.tick = token
 	}
 }
@@ -241,7 +243,7 @@
 // --- What is fed to it ---
 
 // settingsOf are settings of the fleet ahead with so many classes and tenants.
-func settingsOf(classes, tenants int) garnettide.Settings {
+func fleetSettings(classes, tenants int) garnettide.Settings {
 	s := garnettide.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
 		Weights: garnettide.WeightNominal, Reports: garnettide.ReportInResponses, Granularity: 5 * time.Millisecond,
 		Limits: garnettide.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 3},
@@ -262,19 +264,19 @@
 
 // upstreamList are n upstreams that all are up.
 func upstreamList(n int) []garnettide.Upstream {
-	ups := make([]garnettide.Upstream, n)
-	for i := range ups {
-		ups[i] = garnettide.Upstream{ID: garnettide.UpstreamID(i)*2654435761 + 1, Zone: zone(i), Cell: i % 11, Weight: 1}
+	list := make([]garnettide.Upstream, n)
+	for i := range list {
+		list[i] = garnettide.Upstream{ID: garnettide.UpstreamID(i)*2654435761 + 1, Zone: zoneOfIndex(i), Cell: i % 11, Weight: 1}
 	}
-	return ups
+	return list
 }
 
-func zone(i int) string { return "z" + strconv.Itoa(1+i%7) }
+func zoneOfIndex(i int) string { return "z" + strconv.Itoa(1+i%7) }
 
 // balancer is a Balancer with its list, and its Host.
-func balancer(upstreams, classes, tenants int) (*garnettide.Balancer, *host, error) {
-	h := &host{}
-	b, err := garnettide.New(settingsOf(classes, tenants), 1, 0, h)
+func newListedBalancer(upstreams, classes, tenants int) (*garnettide.Balancer, *recordingHost, error) {
+	h := &recordingHost{}
+	b, err := garnettide.New(fleetSettings(classes, tenants), 1, 0, h)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -284,62 +286,62 @@
 
 // The configuration as the operators write it. Its parts are named by the pages of the wire and of deployment.
 type (
-	obj     map[string]any
-	entries []obj
+	jsonObject  map[string]any
+	jsonObjects []jsonObject
 )
 
 // settingsText is the settings object of a configuration.
-func settingsText(classes, tenants int) obj {
-	profiles, customers := make(entries, classes), make(entries, tenants)
+func settingsObject(classes, tenants int) jsonObject {
+	profiles, customers := make(jsonObjects, classes), make(jsonObjects, tenants)
 	for i := range profiles {
-		profiles[i] = obj{"give_up_us": 1000000, "group": "all", "late_worth": 0.2, "memory_span_us": 400000, "name": className(i),
+		profiles[i] = jsonObject{"give_up_us": 1000000, "group": "all", "late_worth": 0.2, "memory_span_us": 400000, "name": className(i),
 			"repeat": []string{"read_like", "idempotency_key"}[i%2], "stream": false, "target_us": 300000, "worth": 1 + i%7}
 	}
 	for i := range customers {
-		customers[i] = obj{"name": tenantName(i), "quota_rps": 2.1, "share": 0.0000138}
+		customers[i] = jsonObject{"name": tenantName(i), "quota_rps": 2.1, "share": 0.0000138}
 	}
-	return obj{"az": "z1", "balancers": Balancers, "rank": 17, "granularity_us": 5000, "membership_mode": "on_request",
+	return jsonObject{"az": "z1", "balancers": Balancers, "rank": 17, "granularity_us": 5000, "membership_mode": "on_request",
 		"over_share_worth": 0.1, "weights": "nominal", "worth_by": "request", "profiles": profiles, "tenants": customers,
-		"limits": obj{"cancel": true, "connect_timeout_us": 250000, "keepalive_us": 30000000, "max_attempts": 3,
+		"limits": jsonObject{"cancel": true, "connect_timeout_us": 250000, "keepalive_us": 30000000, "max_attempts": 3,
 			"max_retry_after_us": 2000000, "probes": false, "retry_after": true, "second_copies": true},
-		"obligations": obj{"answer_slack_us": 20000, "ask_within_us": 10000000, "cold_from": 0.3, "drain_grace_us": 2000000,
+		"obligations": jsonObject{"answer_slack_us": 20000, "ask_within_us": 10000000, "cold_from": 0.3, "drain_grace_us": 2000000,
 			"ramp_time_us": 9000000, "tip_after_us": 3000000, "tip_multiple": 3.0},
-		"reporting": obj{"fields": []string{"load_share", "tps"}, "via": "piggyback"}}
+		"reporting": jsonObject{"fields": []string{"load_share", "tps"}, "via": "piggyback"}}
 }
 
 // listText is a whole list in discovery's form.
-func listText(n int) obj {
-	members := make(entries, n)
+func listObject(n int) jsonObject {
+	members := make(jsonObjects, n)
 	for i := range members {
-		members[i] = obj{"id": fmt.Sprintf("s-%08x", uint32(i)*2654435761), "host_port": fmt.Sprintf("10.%d.%d.%d:7070", i>>16, i>>8&255, i&255),
-			"locality": zone(i), "flavor": "m2", "cell": i % 11, "phase": "up", "size": 1.0, "up_since_ms": 1790000000000 + i}
+		members[i] = jsonObject{"id": fmt.Sprintf("s-%08x", uint32(i)*2654435761), "host_port": fmt.Sprintf("10.%d.%d.%d:7070", i>>16, i>>8&255, i&255),
+			"locality": zoneOfIndex(i), "flavor": "m2", "cell": i % 11, "phase": "up", "size": 1.0, "up_since_ms": 1790000000000 + i}
 	}
-	return obj{"revision": 41, "complete": true, "members": members}
+	return jsonObject{"revision": 41, "complete": true, "members": members}
 }
 
 // configText is a whole configuration file.
-func configText(classes, tenants, known int) ([]byte, error) {
-	return json.Marshal(obj{"name": "n1", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
-		"limits": obj{"cores": 1.0, "memory_mb": 256, "sockets": 1024}, "known": listText(known),
-		"settings": settingsText(classes, tenants)})
+func configJSON(classes, tenants, known int) ([]byte, error) {
+	return json.Marshal(jsonObject{"name": "n1", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
+		"limits": jsonObject{"cores": 1.0, "memory_mb": 256, "sockets": 1024}, "known": listObject(known),
+		"settings": settingsObject(classes, tenants)})
 }
 
 // --- The figures ---
 
 // secondly is what the module's step costs, that comes once a second. With reports one answer a second tells its
 // server's rate, by which quotas follow the traffic.
-func secondly(upstreams, tenants int, reports bool) (float64, error) {
-	b, h, err := balancer(upstreams, heldClasses, tenants)
+func stepCost(upstreams, tenants int, withReports bool) (float64, error) {
+	b, h, err := newListedBalancer(upstreams, fixedClasses, tenants)
 	if err != nil {
 		return 0, err
 	}
 	now, id := time.Duration(0), garnettide.RequestID(0)
-	return inMS(cost(func() {
+	return milliseconds(cpuPerCall(func() {
 		now += time.Second
-		if reports {
+		if withReports {
 			id++
 			b.Request(now, garnettide.Request{ID: id, Budget: time.Second, Class: className(0)})
-			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.up, Latency: 10 * time.Millisecond,
+			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.upstream, Latency: 10 * time.Millisecond,
 				Load: garnettide.Load{Fields: garnettide.HasUtil | garnettide.HasRequestRate, Util: 0.3, RequestRate: 10}})
 		}
 		b.Timer(now, h.tick)
@@ -348,22 +350,22 @@
 
 // tick is what the module's look at its subset costs, that comes some times in each aim.
 func tick(upstreams int) (float64, error) {
-	b, h, err := balancer(upstreams, heldClasses, heldTenants)
+	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
 	b.Timer(time.Second, h.tick) // the step; none follows, as the clock stands still
-	return inMS(cost(func() { b.Timer(time.Second, h.tick) })), nil
+	return milliseconds(cpuPerCall(func() { b.Timer(time.Second, h.tick) })), nil
 }
 
 // change is what one changed entry costs the module: an upstream drains, or is up again.
-func change(upstreams int) (float64, error) {
-	b, _, err := balancer(upstreams, heldClasses, heldTenants)
+func changeCost(upstreams int) (float64, error) {
+	b, _, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
 	entry, now := upstreamList(upstreams)[upstreams/2:upstreams/2+1], time.Duration(0)
-	return inMS(cost(func() {
+	return milliseconds(cpuPerCall(func() {
 		now += time.Millisecond
 		entry[0].State = garnettide.Draining - entry[0].State // to and fro
 		b.Members(now, garnettide.ListDelta, entry)
@@ -371,13 +373,13 @@
 }
 
 // wholeList is what a whole list costs the module in which nothing is new, as after a watch that had failed.
-func wholeList(upstreams int) (float64, error) {
-	b, _, err := balancer(upstreams, heldClasses, heldTenants)
+func fullListCost(upstreams int) (float64, error) {
+	b, _, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
 	all, now := upstreamList(upstreams), time.Duration(0)
-	return inMS(cost(func() {
+	return milliseconds(cpuPerCall(func() {
 		now += time.Millisecond
 		b.Members(now, garnettide.ListFull, all)
 	})), nil
@@ -385,8 +387,8 @@
 
 // listDecode is what the reading of a whole list costs: the decoding, the look at each address and the order that the
 // discovery client gives it, over entries of the same shape. The client's own are not to be had from outside.
-func listDecode(upstreams int) (float64, error) {
-	text, err := json.Marshal(listText(upstreams))
+func listDecodeCost(upstreams int) (float64, error) {
+	text, err := json.Marshal(listObject(upstreams))
 	if err != nil {
 		return 0, err
 	}
@@ -399,7 +401,7 @@
 		Size      float64 `json:"size"`
 		UpSinceMS int64   `json:"up_since_ms"`
 	}
-	each := cost(func() {
+	perCall := cpuPerCall(func() {
 		var l struct {
 			Revision uint64  `json:"revision"`
 			Complete bool    `json:"complete"`
@@ -415,65 +417,65 @@
 		}
 		slices.SortFunc(l.Members, func(a, b entry) int { return strings.Compare(a.ID, b.ID) })
 	})
-	return inMS(each), err
+	return milliseconds(perCall), err
 }
 
-func listSize(upstreams int) (float64, error) {
-	text, err := json.Marshal(listText(upstreams))
+func listSizeKB(upstreams int) (float64, error) {
+	text, err := json.Marshal(listObject(upstreams))
 	return float64(len(text)) / 1e3, err
 }
 
 // requestCost is what a request costs the module, in us: taken, sent at once, and answered, at a balancer's mean rate.
 func requestCost(upstreams int) (float64, error) {
-	b, h, err := balancer(upstreams, heldClasses, heldTenants)
+	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
-	now, id, every := time.Duration(0), garnettide.RequestID(0), time.Second*Balancers/peak
-	each := cost(func() {
+	now, id, interval := time.Duration(0), garnettide.RequestID(0), time.Second*Balancers/fleetRequestRate
+	perCall := cpuPerCall(func() {
 		id++
-		now += every / 2
+		now += interval / 2
 		b.Request(now, garnettide.Request{ID: id, Budget: time.Second, Class: className(0), Tenant: tenantName(0)})
-		now += every / 2
+		now += interval / 2
 		if h.id == id {
-			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.up, Latency: every / 2, Load: garnettide.Load{
+			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.upstream, Latency: interval / 2, Load: garnettide.Load{
 				Fields: garnettide.HasUtil | garnettide.HasRequestRate, Util: 0.3 + float64(id%8)/100, RequestRate: 10}})
 		}
 	})
 	if h.sent < int(id)*9/10 {
 		return 0, fmt.Errorf("only %d of %d requests were sent at once", h.sent, id)
 	}
-	return inMS(each) * 1000, nil
+	return milliseconds(perCall) * 1000, nil
 }
 
-func newCost(classes, tenants int) (float64, error) {
-	s, err := settingsOf(classes, tenants), error(nil)
-	each := cost(func() {
-		if _, e := garnettide.New(s, 1, 0, &host{}); e != nil {
+func newBalancerCost(classes, tenants int) (float64, error) {
+	s, err := fleetSettings(classes, tenants), error(nil)
+	perCall := cpuPerCall(func() {
+		if _, e := garnettide.New(s, 1, 0, &recordingHost{}); e != nil {
 			err = e
 		}
 	})
-	return inMS(each), err
+	return milliseconds(perCall), err
 }
 
 // loadCost is what the reading and checking of a configuration file costs.
-func loadCost(classes, tenants, known int) (float64, error) {
+func loadConfigCost(classes, tenants, known int) (float64, error) {
 	getenv, remove, err := configFile(classes, tenants, known)
 	if err != nil {
 		return 0, err
 	}
 	defer remove()
-	each := cost(func() {
+	perCall := cpuPerCall(func() {
 		if _, e := proxy.LoadConfig(getenv); e != nil {
 			err = e
 		}
 	})
-	return inMS(each), err
+	return milliseconds(perCall), err
 }
 
 // loadAllocated is how much memory the reading of a configuration file allocates in all, in MB.
-func loadAllocated(tenants int) (float64, error) {
-	getenv, remove, err := configFile(heldClasses, tenants, 0)
+func loadConfigAllocatedMB(tenants int) (float64, error) {
+	getenv, remove, err := configFile(fixedClasses, tenants, 0)
 	if err != nil {
 		return 0, err
 	}
@@ -487,7 +489,7 @@
 
 // configFile writes a configuration to a file of its own, and gives the environment that names it.
 func configFile(classes, tenants, known int) (getenv func(string) string, remove func(), err error) {
-	text, err := configText(classes, tenants, known)
+	text, err := configJSON(classes, tenants, known)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -504,36 +506,36 @@
 		func() { os.RemoveAll(dir) }, nil
 }
 
-func fileSize(classes, tenants, known int) (float64, error) {
-	text, err := configText(classes, tenants, known)
+func configSizeKB(classes, tenants, known int) (float64, error) {
+	text, err := configJSON(classes, tenants, known)
 	return float64(len(text)) / 1e3, err
 }
 
-func decodeCost(classes, tenants int) (float64, error) {
-	text, err := json.Marshal(settingsText(classes, tenants))
+func decodeSettingsCost(classes, tenants int) (float64, error) {
+	text, err := json.Marshal(settingsObject(classes, tenants))
 	if err != nil {
 		return 0, err
 	}
-	each := cost(func() {
+	perCall := cpuPerCall(func() {
 		if _, _, e := wire.DecodeSettings(text); e != nil {
 			err = e
 		}
 	})
-	return inMS(each), err
+	return milliseconds(perCall), err
 }
 
 // liveMemory is what a Balancer holds with its list and its settings, read as the balancer reads them.
-func liveMemory(upstreams, classes, tenants int) (float64, error) {
-	text, err := json.Marshal(settingsText(classes, tenants))
+func balancerHeapMB(upstreams, classes, tenants int) (float64, error) {
+	text, err := json.Marshal(settingsObject(classes, tenants))
 	if err != nil {
 		return 0, err
 	}
-	return live(func() (any, error) {
+	return retainedMB(func() (any, error) {
 		s, _, err := wire.DecodeSettings(text)
 		if err != nil {
 			return nil, err
 		}
-		b, err := garnettide.New(s, 1, 0, &host{})
+		b, err := garnettide.New(s, 1, 0, &recordingHost{})
 		if err != nil {
 			return nil, err
 		}
@@ -544,88 +546,88 @@
 
 // --- Reload ---
 
-func noStep() {}
+func noYield() {}
 
 // plans are two plans of a part of the fleet ahead, that differ in one class and one tenant.
-func plans(part int) (one, two *garnettide.Plan, err error) {
-	s := settingsOf(Classes*part/16, Tenants*part/16)
-	if one, err = garnettide.NewPlan(s, noStep); err != nil {
+func reloadPlans(sixteenths int) (current, next *garnettide.Plan, err error) {
+	s := fleetSettings(Classes*sixteenths/16, Tenants*sixteenths/16)
+	if current, err = garnettide.NewPlan(s, noYield); err != nil {
 		return nil, nil, err
 	}
 	s.Classes[0].Worth++
 	s.Tenants[0].Quota++
-	two, err = garnettide.NewPlan(s, noStep)
-	return one, two, err
+	next, err = garnettide.NewPlan(s, noYield)
+	return current, next, err
 }
 
-func planCost(part int) (float64, error) {
-	s, err := settingsOf(Classes*part/16, Tenants*part/16), error(nil)
-	each := cost(func() {
-		if _, e := garnettide.NewPlan(s, noStep); e != nil {
+func newPlanCost(sixteenths int) (float64, error) {
+	s, err := fleetSettings(Classes*sixteenths/16, Tenants*sixteenths/16), error(nil)
+	perCall := cpuPerCall(func() {
+		if _, e := garnettide.NewPlan(s, noYield); e != nil {
 			err = e
 		}
 	})
-	return inMS(each), err
+	return milliseconds(perCall), err
 }
 
-func compareCost(part int) (float64, error) {
-	one, two, err := plans(part)
+func planSinceCost(sixteenths int) (float64, error) {
+	current, next, err := reloadPlans(sixteenths)
 	if err != nil {
 		return 0, err
 	}
-	return inMS(cost(func() { two.Since(one, noStep) })), nil
+	return milliseconds(cpuPerCall(func() { next.Since(current, noYield) })), nil
 }
 
 // reconfigureCost is what is left on the loop of a change of the settings, in us.
-func reconfigureCost(part int) (float64, error) {
-	reconfigure, err := reconfigured(part)
+func reconfigureCost(sixteenths int) (float64, error) {
+	reconfigure, err := alternatePlans(sixteenths)
 	if err != nil {
 		return 0, err
 	}
-	return inMS(cost(reconfigure)) * 1000, nil
+	return milliseconds(cpuPerCall(reconfigure)) * 1000, nil
 }
 
 // reconfigured has a Balancer go by two plans in turn.
-func reconfigured(part int) (func(), error) {
-	one, two, err := plans(part)
+func alternatePlans(sixteenths int) (func(), error) {
+	current, next, err := reloadPlans(sixteenths)
 	if err != nil {
 		return nil, err
 	}
-	forth, back := two.Since(one, noStep), one.Since(two, noStep)
-	b := garnettide.NewWithPlan(one, 1, 0, &host{})
-	b.Members(0, garnettide.ListFull, upstreamList(Upstreams*part/16))
+	toNext, toCurrent := next.Since(current, noYield), current.Since(next, noYield)
+	b := garnettide.NewWithPlan(current, 1, 0, &recordingHost{})
+	b.Members(0, garnettide.ListFull, upstreamList(Upstreams*sixteenths/16))
 	now := time.Duration(0)
 	return func() {
 		now += time.Millisecond
-		b.Reconfigure(now, two, forth)
-		b.Reconfigure(now, one, back)
+		b.Reconfigure(now, next, toNext)
+		b.Reconfigure(now, current, toCurrent)
 	}, nil
 }
 
 // twoPlans is what is held while a new plan stands ready and the old one is in force.
-func twoPlans(part int) (float64, error) {
+func twoPlansHeapMB(sixteenths int) (float64, error) {
 	type pair struct {
 		b   *garnettide.Balancer
 		new *garnettide.Plan
 	}
-	return live(func() (any, error) {
-		one, two, err := plans(part)
+	return retainedMB(func() (any, error) {
+		current, next, err := reloadPlans(sixteenths)
 		if err != nil {
 			return nil, err
 		}
-		b := garnettide.NewWithPlan(one, 1, 0, &host{})
-		b.Members(0, garnettide.ListFull, upstreamList(Upstreams*part/16))
-		return pair{b, two}, nil
+		b := garnettide.NewWithPlan(current, 1, 0, &recordingHost{})
+		b.Members(0, garnettide.ListFull, upstreamList(Upstreams*sixteenths/16))
+		return pair{b, next}, nil
 	})
 }
 
 // --- Quotas ---
 
 const (
-	quota     = 2.1
-	quotaUse  = 0.8
-	quotaWarm = 3000 * time.Second // many times what a count of one takes to run out at a 950th of the quota
-	quotaFor  = 20000 * time.Second
+	tenantQuota      = 2.1
+	quotaUtilization = 0.8
+	quotaWarmup      = 3000 * time.Second // many times what a count of one takes to run out at a 950th of the quota
+	quotaDuration    = 20000 * time.Second
 )
 
 // quotaShare is the share, in percent, of requests within a tenant's quota that are taken for over it, where its
@@ -634,13 +636,13 @@
 // The module tells nobody what it takes a request for. So the balancers here have no upstreams, what is over the quota
 // has no worth, and every request may wait for longer than all this takes: one that is over its quota is refused at
 // once, and any other is held.
-func quotaShare(balancers, used int, lasts time.Duration) (float64, error) {
-	s := settingsOf(1, 0)
-	long := 100 * (quotaWarm + lasts)
+func overQuotaPercent(balancers, usedBalancers int, duration time.Duration) (float64, error) {
+	s := fleetSettings(1, 0)
+	longDeadline := 100 * (quotaWarmup + duration)
 	s.Balancers, s.OverQuotaWorth, s.PollDiscovery = balancers, 0, false
-	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = long, long
-	s.Tenants = []garnettide.Tenant{{Name: "t", Quota: quota}}
-	hosts, fleet := make([]host, used), make([]*garnettide.Balancer, used)
+	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = longDeadline, longDeadline
+	s.Tenants = []garnettide.Tenant{{Name: "t", Quota: tenantQuota}}
+	hosts, fleet := make([]recordingHost, usedBalancers), make([]*garnettide.Balancer, usedBalancers)
 	for i := range fleet {
 		var err error
 		s.Rank = i
@@ -649,18 +651,18 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	asked, over, at := 0, 0, 0.0
+	counted, overQuota, elapsed := 0, 0, 0.0
 	for id := garnettide.RequestID(1); ; id++ {
-		at += rng.ExpFloat64() / (quota * quotaUse)
-		now := time.Duration(at * float64(time.Second))
-		if now > quotaWarm+lasts {
-			return 100 * float64(over) / float64(asked), nil
+		elapsed += rng.ExpFloat64() / (tenantQuota * quotaUtilization)
+		now := time.Duration(elapsed * float64(time.Second))
+		if now > quotaWarmup+duration {
+			return 100 * float64(overQuota) / float64(counted), nil
 		}
-		i := rng.IntN(used)
+		i := rng.IntN(usedBalancers)
 		before := hosts[i].refused
-		fleet[i].Request(now, garnettide.Request{ID: id, Budget: long, Class: s.Classes[0].Name, Tenant: "t"})
-		if now > quotaWarm {
-			asked, over = asked+1, over+hosts[i].refused-before
+		fleet[i].Request(now, garnettide.Request{ID: id, Budget: longDeadline, Class: s.Classes[0].Name, Tenant: "t"})
+		if now > quotaWarmup {
+			counted, overQuota = counted+1, overQuota+hosts[i].refused-before
 		}
 	}
 }
--- a/internal/scale/inprocess_test.go
+++ b/internal/scale/inprocess_test.go
@@ -14,30 +14,30 @@
 )
 
 // Every measurement gives a figure, here at its smallest size and in short batches.
-func TestInProcessMeasuresAll(t *testing.T) {
-	defer func(was time.Duration) { batchTime = was }(batchTime)
-	batchTime = time.Millisecond
+func TestInProcessMeasurements(t *testing.T) {
+	defer func(was time.Duration) { minBatchTime = was }(minBatchTime)
+	minBatchTime = time.Millisecond
 	seen := map[string]bool{}
-	for _, m := range inProcess {
+	for _, m := range inProcessMeasurements {
 		if m.unit == "%" {
 			continue // the quotas' own test has them
 		}
-		if seen[m.name+"/"+m.varied] {
-			t.Errorf("%s over %s is there twice", m.name, m.varied)
+		if seen[m.name+"/"+m.variable] {
+			t.Errorf("%s over %s is there twice", m.name, m.variable)
 		}
-		seen[m.name+"/"+m.varied] = true
+		seen[m.name+"/"+m.variable] = true
 		if len(m.sizes) < 4 || m.sizes[len(m.sizes)-1] < 8*m.sizes[0] {
-			t.Errorf("%s over %s: sizes %v are no four over a factor of eight", m.name, m.varied, m.sizes)
+			t.Errorf("%s over %s: sizes %v are no four over a factor of eight", m.name, m.variable, m.sizes)
 		}
-		y, err := m.at(m.sizes[0])
+		y, err := m.measure(m.sizes[0])
 		if err != nil || math.IsNaN(y) || math.IsInf(y, 0) {
-			t.Errorf("%s over %s: %v, %v", m.name, m.varied, y, err)
+			t.Errorf("%s over %s: %v, %v", m.name, m.variable, y, err)
 		}
 	}
 }
 
-func TestSlopeThatCannotBeMeasuredSaysWhy(t *testing.T) {
-	m := measurement{name: "x", sizes: []int{1, 2, 4, 8}, at: func(n int) (float64, error) {
+func TestFailedMeasurementNotesReason(t *testing.T) {
+	m := measurement{name: "x", sizes: []int{1, 2, 4, 8}, measure: func(n int) (float64, error) {
 		if n == 4 {
 			return 0, errors.New("no room")
 		}
@@ -52,15 +52,15 @@
 	}
 }
 
-func TestLeastOfTwoRuns(t *testing.T) {
+func TestSlopeLowestOfTwoRuns(t *testing.T) {
 	x := []float64{1, 2, 4, 8}
-	one, two := NewSlope("a", "ms", "n", x, []float64{10, 21, 40, 95}), NewSlope("a", "ms", "n", x, []float64{12, 20, 44, 80})
-	one.Note = "held"
-	if s := one.least(two); !slices.Equal(s.Y, []float64{10, 20, 40, 80}) || s.Fit != FitPoints(x, s.Y) || s.Note != "held" || one.Y[1] != 21 {
+	first, second := NewSlope("a", "ms", "n", x, []float64{10, 21, 40, 95}), NewSlope("a", "ms", "n", x, []float64{12, 20, 44, 80})
+	first.Note = "held"
+	if s := first.lowest(second); !slices.Equal(s.Y, []float64{10, 20, 40, 80}) || s.Fit != FitPoints(x, s.Y) || s.Note != "held" || first.Y[1] != 21 {
 		t.Errorf("%+v", s)
 	}
 	none := Slope{Name: "a", Note: "not run: no room"}
-	for _, s := range []Slope{one.least(none), none.least(one)} {
+	for _, s := range []Slope{first.lowest(none), none.lowest(first)} {
 		if len(s.X)+len(s.Y) > 0 || s.Fit != (Fit{}) || s.Note != none.Note {
 			t.Errorf("%+v", s)
 		}
@@ -68,7 +68,7 @@
 }
 
 // What is measured is what it is said to be: the configuration holds so many of each, and they arrive.
-func TestConfigHoldsWhatIsVaried(t *testing.T) {
+func TestConfigFileHoldsRequestedCounts(t *testing.T) {
 	getenv, remove, err := configFile(5, 7, 11)
 	if err != nil {
 		t.Fatal(err)
@@ -85,29 +85,29 @@
 }
 
 // allocated is how many bytes op allocates, the least of some runs.
-func allocated(op func()) float64 {
+func allocatedBytes(op func()) float64 {
 	op()
-	best := math.Inf(1)
+	lowest := math.Inf(1)
 	for range 5 {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		op()
 		runtime.ReadMemStats(&after)
-		best = min(best, float64(after.TotalAlloc-before.TotalAlloc))
+		lowest = min(lowest, float64(after.TotalAlloc-before.TotalAlloc))
 	}
-	return best
+	return lowest
 }
 
 // What the module does for a change, for a second and for its settings grows no more steeply than the list or the
 // settings. It is judged by the bytes that it allocates, which no other process changes.
-func TestControlGrowsNoSteeperThanTheFleet(t *testing.T) {
+func TestControlAllocationsGrowAtMostLinearly(t *testing.T) {
 	const small, times, margin = 200, 8, 1.5
 	for _, c := range []struct {
-		name string
-		at   func(n int) func()
+		name  string
+		newOp func(n int) func()
 	}{
 		{"change", func(n int) func() {
-			b, _, err := balancer(n, 2, 2)
+			b, _, err := newListedBalancer(n, 2, 2)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -119,7 +119,7 @@
 			}
 		}},
 		{"step", func(n int) func() {
-			b, h, err := balancer(n, 2, 2)
+			b, h, err := newListedBalancer(n, 2, 2)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -130,53 +130,53 @@
 			}
 		}},
 		{"New over classes", func(n int) func() {
-			s := settingsOf(n, 2)
+			s := fleetSettings(n, 2)
 			return func() {
-				if _, err := garnettide.New(s, 1, 0, &host{}); err != nil {
+				if _, err := garnettide.New(s, 1, 0, &recordingHost{}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}},
 		{"New over tenants", func(n int) func() {
-			s := settingsOf(2, n)
+			s := fleetSettings(2, n)
 			return func() {
-				if _, err := garnettide.New(s, 1, 0, &host{}); err != nil {
+				if _, err := garnettide.New(s, 1, 0, &recordingHost{}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}},
 	} {
-		one, eight := allocated(c.at(small)), allocated(c.at(small*times))
-		if eight > times*margin*one {
-			t.Errorf("%s: %.0f bytes at %d, %.0f at %d", c.name, one, small, eight, small*times)
+		base, grown := allocatedBytes(c.newOp(small)), allocatedBytes(c.newOp(small*times))
+		if grown > times*margin*base {
+			t.Errorf("%s: %.0f bytes at %d, %.0f at %d", c.name, base, small, grown, small*times)
 		}
 	}
 }
 
 // What a change of the settings costs the loop does not grow with what the settings hold.
-func TestReconfigureCostsTheSameHoweverMuchIsSet(t *testing.T) {
-	var at [2]float64
-	for i, part := range []int{1, 8} {
-		reconfigure, err := reconfigured(part)
+func TestReconfigureCostIndependentOfSettingsSize(t *testing.T) {
+	var bytes [2]float64
+	for i, sixteenths := range []int{1, 8} {
+		reconfigure, err := alternatePlans(sixteenths)
 		if err != nil {
 			t.Fatal(err)
 		}
-		at[i] = allocated(reconfigure)
+		bytes[i] = allocatedBytes(reconfigure)
 	}
-	if at[1] > at[0]+4096 {
-		t.Errorf("%.0f bytes for 1,062 classes and 4,500 tenants, %.0f for eight times as many", at[0], at[1])
+	if bytes[1] > bytes[0]+4096 {
+		t.Errorf("%.0f bytes for 1,062 classes and 4,500 tenants, %.0f for eight times as many", bytes[0], bytes[1])
 	}
 }
 
 // A request that is sent asks one thing of the Host, however long the list is.
-func TestRequestAsksOneSendHoweverLongTheList(t *testing.T) {
+func TestRequestIsSentOnceForAnyListLength(t *testing.T) {
 	for _, n := range []int{500, 4000} {
-		b, h, err := balancer(n, 2, 2)
+		b, h, err := newListedBalancer(n, 2, 2)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Request(time.Minute, garnettide.Request{ID: 1, Budget: time.Second, Class: className(0)})
-		b.Outcome(time.Minute+time.Millisecond, garnettide.Outcome{ID: 1, Upstream: h.up, Latency: time.Millisecond})
+		b.Outcome(time.Minute+time.Millisecond, garnettide.Outcome{ID: 1, Upstream: h.upstream, Latency: time.Millisecond})
 		if h.sent != 1 || h.refused != 0 {
 			t.Errorf("%d upstreams: sent %d times, refused %d times", n, h.sent, h.refused)
 		}
@@ -185,19 +185,19 @@
 
 // The share taken for over a quota goes by the requests' own clock alone, so it is the same each time. One balancer
 // lets nearly all pass; these are upper bounds, and what mends the quotas of a fleet lowers them.
-func TestQuotaShare(t *testing.T) {
-	const span = 5000 * time.Second
+func TestOverQuotaPercent(t *testing.T) {
+	const duration = 5000 * time.Second
 	for _, c := range []struct {
-		balancers, used int
-		most            float64 // percent
+		balancers, usedBalancers int
+		maxPercent               float64 // percent
 	}{{1, 1, 10}, {3, 3, 20}, {30, 30, 50}, {Balancers, 8, 99.5}} {
-		share, err := quotaShare(c.balancers, c.used, span)
+		first, err := overQuotaPercent(c.balancers, c.usedBalancers, duration)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, _ := quotaShare(c.balancers, c.used, span)
-		if share > c.most || share != again {
-			t.Errorf("%d of %d balancers: %.1f%%, then %.1f%%, at most %.1f%%", c.used, c.balancers, share, again, c.most)
+		second, _ := overQuotaPercent(c.balancers, c.usedBalancers, duration)
+		if first > c.maxPercent || first != second {
+			t.Errorf("%d of %d balancers: %.1f%%, then %.1f%%, at most %.1f%%", c.usedBalancers, c.balancers, first, second, c.maxPercent)
 		}
 	}
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -14,22 +14,22 @@
 // This file writes a run's results: tables for people, and the same as JSON.
 
 // Table writes the tables.
-func (r *Run) Table(w io.Writer) {
-	fmt.Fprintf(w, "\nscale run of %s, commit %s, %s, %d cores used, %.0f s, at most %d MB\n", r.Began, r.Commit, r.Go, r.processors, r.Seconds, r.MemoryMB)
-	inProcessTable(w, r.InProcess)
+func (r *Run) WriteTables(w io.Writer) {
+	fmt.Fprintf(w, "\nscale run of %s, commit %s, %s, %d cores used, %.0f s, at most %d MB\n", r.Started, r.Commit, r.GoVersion, r.processors, r.Seconds, r.PeakMemoryMB)
+	writeInProcessTable(w, r.InProcess)
 	for _, s := range r.Slopes {
-		s.table(w)
+		s.writeTable(w)
 	}
 	for _, s := range r.Scenes {
-		s.table(w)
+		s.writeTable(w)
 	}
-	for _, l := range r.Left {
+	for _, l := range r.NotRun {
 		fmt.Fprintln(w, "not run:", l)
 	}
 }
 
 // inProcessTable writes the slopes of one process; nothing where there are none.
-func inProcessTable(w io.Writer, slopes []Slope) {
+func writeInProcessTable(w io.Writer, slopes []Slope) {
 	if len(slopes) == 0 {
 		return
 	}
@@ -41,31 +41,31 @@
 		for i := range s.X {
 			fmt.Fprintf(t, "%.5g: %.4g\t", s.X[i], s.Y[i])
 		}
-		fmt.Fprintf(t, "%s\t%v\t%s\t\n", s.Varied, s.Fit, s.Note)
+		fmt.Fprintf(t, "%s\t%v\t%s\t\n", s.Variable, s.Fit, s.Note)
 	}
 }
 
-func (x *Varied) table(w io.Writer) {
-	fmt.Fprintf(w, "\nslope %s; figures are for one hollow balancer where nothing else is said\n", x.Name)
+func (r *SlopeResult) writeTable(w io.Writer) {
+	fmt.Fprintf(w, "\nslope %s; figures are for one hollow balancer where nothing else is said\n", r.Name)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	defer t.Flush()
 	fmt.Fprint(t, "figure\tunit\t")
-	for _, p := range x.Points {
+	for _, p := range r.Points {
 		mark := ""
-		if p.Loaded {
+		if p.Saturated {
 			mark = "!"
 		}
 		fmt.Fprintf(t, "%.5g%s\t", p.X, mark)
 	}
 	fmt.Fprintln(t, "fit\t")
-	for _, s := range x.Slopes {
+	for _, s := range r.Slopes {
 		fmt.Fprintf(t, "%s\t%s\t", s.Name, s.Unit)
 		for _, y := range s.Y {
 			fmt.Fprintf(t, "%.4g\t", y)
 		}
 		fmt.Fprintf(t, "%v\t\n", s.Fit)
 	}
-	for _, p := range x.Points {
+	for _, p := range r.Points {
 		for _, b := range p.Bursts {
 			fmt.Fprintf(t, "at %.5g, %s: %.4g ms of a core and %.4g KB for a balancer, in force p99 %.0f ms, last %.0f, missing %d\t\n", p.X, b.Name,
 				b.CPU, b.In, b.InForce.P99, b.InForce.Last, b.InForce.Missing)
@@ -83,35 +83,35 @@
 	}
 }
 
-func (x *Scene) table(w io.Writer) {
-	fmt.Fprintf(w, "\nscene %s: %d hollow and %d real balancers, %d upstreams, %d classes, %d tenants\n", x.Name, x.Size.Hollow, x.Size.Real,
-		x.Size.Upstreams, x.Size.Classes, x.Size.Tenants)
+func (s *Scene) writeTable(w io.Writer) {
+	fmt.Fprintf(w, "\nscene %s: %d hollow and %d real balancers, %d upstreams, %d classes, %d tenants\n", s.Name, s.Size.Hollow, s.Size.Real,
+		s.Size.Upstreams, s.Size.Classes, s.Size.Tenants)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "figure\t")
-	for _, p := range x.Phases {
+	for _, p := range s.Phases {
 		fmt.Fprintf(t, "%s\t", p.Name)
 	}
 	fmt.Fprintln(t)
-	row := func(name string, of func(p Phase) string) {
+	row := func(name string, value func(p Phase) string) {
 		fmt.Fprintf(t, "%s\t", name)
-		for _, p := range x.Phases {
-			fmt.Fprintf(t, "%s\t", of(p))
+		for _, p := range s.Phases {
+			fmt.Fprintf(t, "%s\t", value(p))
 		}
 		fmt.Fprintln(t)
 	}
-	force := func(of func(p Phase) InForce) func(p Phase) string {
+	delays := func(value func(p Phase) InForce) func(p Phase) string {
 		return func(p Phase) string {
-			f := of(p)
+			f := value(p)
 			if f.Changes == 0 {
 				return "-"
 			}
 			return fmt.Sprintf("%.0f / %.0f / %.0f, missing %d", f.P50, f.P99, f.Last, f.Missing)
 		}
 	}
-	row("list in force, hollow: p50 / p99 / last ms", force(func(p Phase) InForce { return p.Lists }))
-	row("settings in force, hollow", force(func(p Phase) InForce { return p.Config }))
-	for i, program := range x.Programs {
-		row("settings served, real, "+program, force(func(p Phase) (f InForce) {
+	row("list in force, hollow: p50 / p99 / last ms", delays(func(p Phase) InForce { return p.Lists }))
+	row("settings in force, hollow", delays(func(p Phase) InForce { return p.Config }))
+	for i, program := range s.Programs {
+		row("settings served, real, "+program, delays(func(p Phase) (f InForce) {
 			if i < len(p.Served) {
 				f = p.Served[i]
 			}
@@ -121,7 +121,7 @@
 			if i >= len(p.Wrong) {
 				return "-"
 			}
-			return counted(p.Wrong[i])
+			return formatCounts(p.Wrong[i])
 		})
 	}
 	row("hollow: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.Spent.HollowCPU) })
@@ -138,11 +138,11 @@
 	row("clients: requests, of these moved to another balancer", func(p Phase) string {
 		return fmt.Sprintf("%d, %d", p.Clients.Requests, p.Clients.Moved)
 	})
-	row("clients: answers", func(p Phase) string { return counted(p.Clients.Statuses) })
+	row("clients: answers", func(p Phase) string { return formatCounts(p.Clients.Statuses) })
 	row("clients: added p50 / p99 / max ms", func(p Phase) string {
 		return fmt.Sprintf("%.2f / %.2f / %.0f", p.Clients.AddedP50, p.Clients.AddedP99, p.Clients.AddedMax)
 	})
-	for i, program := range x.Programs {
+	for i, program := range s.Programs {
 		row("clients of "+program+": added p50 / p99 / max ms", func(p Phase) string {
 			if i >= len(p.Each) {
 				return "-"
@@ -152,15 +152,15 @@
 		})
 	}
 	t.Flush()
-	for _, name := range slices.Sorted(maps.Keys(x.Figures)) {
-		fmt.Fprintf(w, "%s: %.4g\n", name, x.Figures[name])
+	for _, name := range slices.Sorted(maps.Keys(s.Figures)) {
+		fmt.Fprintf(w, "%s: %.4g\n", name, s.Figures[name])
 	}
 }
 
-func counted(c map[string]int) string {
+func formatCounts(counts map[string]int) string {
 	var parts []string
-	for _, name := range slices.Sorted(maps.Keys(c)) {
-		parts = append(parts, fmt.Sprintf("%s: %d", name, c[name]))
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		parts = append(parts, fmt.Sprintf("%s: %d", name, counts[name]))
 	}
 	return strings.Join(parts, ", ")
 }
--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -62,15 +62,15 @@
 
 // scene plays a scene on a fleet of its own.
 func (r *Run) scene(s scene) (Scene, error) {
-	x := Scene{Name: s.name, Size: r.options.Size.over(sceneSize), Programs: r.names, Figures: map[string]float64{}}
-	r.progress("scene %s: %d hollow balancers and %d real ones before %d upstreams, %d classes, %d tenants", s.name, x.Size.Hollow,
+	x := Scene{Name: s.name, Size: r.options.Size.withDefaults(sceneSize), Programs: r.programNames, Figures: map[string]float64{}}
+	r.logProgress("scene %s: %d hollow balancers and %d real ones before %d upstreams, %d classes, %d tenants", s.name, x.Size.Hollow,
 		x.Size.Real, x.Size.Upstreams, x.Size.Classes, x.Size.Tenants)
-	f, err := newFleet(x.Size, r.kids, r.programs...)
+	f, err := newFleet(x.Size, r.processes, r.programs...)
 	if err != nil {
 		return x, err
 	}
 	defer f.close()
-	if _, err := r.phase(f, &x, "before", func(*Phase) ([]Made, error) { return f.play(0, min(r.options.For, 10*time.Second)) }); err != nil {
+	if _, err := r.phase(f, &x, "before", func(*Phase) ([]Made, error) { return f.play(0, min(r.options.PhaseDuration, 10*time.Second)) }); err != nil {
 		return x, err
 	}
 	return x, s.play(r, f, &x)
@@ -109,10 +109,10 @@
 		p.Clients, p.Each = f.traffic.take()
 	}
 	x.Phases = append(x.Phases, p)
-	r.progress("  %s: lists in force p99 %.0f ms, last %.0f, missing %d of %d; discovery %.0f calls/s, %.0f KB/s; clients %d, not served %d, added p99 %.2f ms",
+	r.logProgress("  %s: lists in force p99 %.0f ms, last %.0f, missing %d of %d; discovery %.0f calls/s, %.0f KB/s; clients %d, not served %d, added p99 %.2f ms",
 		name, p.Lists.P99, p.Lists.Last, p.Lists.Missing, p.Lists.Changes, p.Spent.Calls, p.Spent.Written/1000, p.Clients.Requests,
 		p.Clients.unserved(), p.Clients.AddedP99)
-	return p, r.failure()
+	return p, r.abortCause()
 }
 
 // busiest is discovery's second with the most calls, until stop is closed.
@@ -143,16 +143,16 @@
 // playSettings changes the settings again and again. On hollow balancers a version is in force once it or a newer one is. On the real ones
 // a request of its own class has to be served before the next one comes; the last one has all the time that the users allow.
 func playSettings(r *Run, f *fleet, x *Scene) error {
-	_, err := r.phase(f, x, fmt.Sprintf("a change of the settings each %v", r.options.Every), func(p *Phase) ([]Made, error) {
+	_, err := r.phase(f, x, fmt.Sprintf("a change of the settings each %v", r.options.SettingsInterval), func(p *Phase) ([]Made, error) {
 		real := make([]Delays, len(f.programs))
 		for range f.programs {
 			p.Wrong = append(p.Wrong, Counted{})
 		}
 		changes := 0
 		for began, last := time.Now(), false; !last; changes++ {
-			next := time.Now().Add(r.options.Every)
-			last = time.Since(began)+r.options.Every >= r.options.For
-			within := r.options.Every - r.options.Every/10
+			next := time.Now().Add(r.options.SettingsInterval)
+			last = time.Since(began)+r.options.SettingsInterval >= r.options.PhaseDuration
+			within := r.options.SettingsInterval - r.options.SettingsInterval/10
 			if last { // no other follows it
 				within = inForceMost
 			}
@@ -175,11 +175,11 @@
 			return nil, err
 		}
 		p.Config = summary(changes, hollow)
-		r.progress("  settings in force on hollow ones p99 %.0f ms, last %.0f, missing %d", p.Config.P99, p.Config.Last, p.Config.Missing)
+		r.logProgress("  settings in force on hollow ones p99 %.0f ms, last %.0f, missing %d", p.Config.P99, p.Config.Last, p.Config.Missing)
 		for i, d := range real {
 			s := summary(changes, d)
 			p.Served = append(p.Served, s)
-			r.progress("  served by real ones of program %d p99 %.0f ms, last %.0f, missing %d %v", i+1, s.P99, s.Last, s.Missing, p.Wrong[i])
+			r.logProgress("  served by real ones of program %d p99 %.0f ms, last %.0f, missing %d %v", i+1, s.P99, s.Last, s.Missing, p.Wrong[i])
 		}
 		return nil, nil
 	})
@@ -310,11 +310,11 @@
 		}
 		return nil
 	}
-	if _, err := r.phase(f, x, fmt.Sprintf("discovery cut off for %v", r.options.Cut), func(*Phase) ([]Made, error) {
+	if _, err := r.phase(f, x, fmt.Sprintf("discovery cut off for %v", r.options.CutDuration), func(*Phase) ([]Made, error) {
 		if err := set(ModeSilent); err != nil {
 			return nil, err
 		}
-		_, err := f.play(1, r.options.Cut)
+		_, err := f.play(1, r.options.CutDuration)
 		return nil, err
 	}); err != nil {
 		return err
--- a/internal/scale/small_test.go
+++ b/internal/scale/small_test.go
@@ -123,7 +123,7 @@
 		s.hollow.StopAll()
 		s.await("watches end with their balancers", func() bool { return s.discovery.counts.waiting.Load() == 0 })
 	}
-	if f := FitPoints(upstreams, bytes); f.Form != Constant || f.Worst > 0.02 {
+	if f := FitPoints(upstreams, bytes); f.Form != Constant || f.WorstError > 0.02 {
 		t.Errorf("bytes of a change over upstreams %v: %v, %v; want them constant", upstreams, bytes, f)
 	}
 	for _, n := range []int{6, 12, 24, 48} {
@@ -133,7 +133,7 @@
 		want(t, fmt.Sprintf("%d balancers: entries", n), c.Entries, int64(n))
 		s.hollow.StopAll()
 	}
-	if f := FitPoints(balancers, answers); f.Form != Linear || f.Worst > 0.001 || f.At(1) > 1.001 {
+	if f := FitPoints(balancers, answers); f.Form != Linear || f.WorstError > 0.001 || f.At(1) > 1.001 {
 		t.Errorf("answers for a change over balancers %v: %v, %v; want one each", balancers, answers, f)
 	}
 }
--- a/internal/scale/soak_test.go
+++ b/internal/scale/soak_test.go
@@ -14,14 +14,14 @@
 	for seed := uint64(1); seed <= 8; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			result, err := Soak(program, seed, t.TempDir())
+			result, err := RunSoak(program, seed, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := result.Err(); err != nil {
 				t.Error(err)
 			}
-			t.Logf("%d requests, %d restarts, held up for %v", result.Requests, result.Restarts, result.Late)
+			t.Logf("%d requests, %d restarts, held up for %v", result.Requests, result.Restarts, result.MaxDelay)
 		})
 	}
 }
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -22,7 +22,7 @@
 
 // ownUsage reads this process. With heap it collects first, which costs processor time that the reading leaves out: the
 // collection comes after it.
-func ownUsage(heap bool) (Usage, error) {
+func ownUsage(withHeap bool) (Usage, error) {
 	u, err := processUsage(syscall.Getpid())
 	if err != nil {
 		return u, err
@@ -32,7 +32,7 @@
 		return u, fmt.Errorf("getrusage: %w", err)
 	}
 	u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
-	if heap {
+	if withHeap {
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
@@ -56,9 +56,9 @@
 
 // coresBusy is how long the processors that this process may use have been busy, with whatever, since the machine's start. It
 // is counted in steps of 10 ms.
-func coresBusy() (time.Duration, error) {
-	var may unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &may); err != nil {
+func processorBusyTime() (time.Duration, error) {
+	var allowed unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
 		return 0, fmt.Errorf("reading the processors: %w", err)
 	}
 	fs, err := procfs.NewDefaultFS()
@@ -71,7 +71,7 @@
 	}
 	sum := 0.0
 	for n, c := range s.CPU {
-		if may.IsSet(int(n)) {
+		if allowed.IsSet(int(n)) {
 			sum += c.User + c.Nice + c.System + c.IRQ + c.SoftIRQ + c.Steal
 		}
 	}
