--- a/internal/scale/design.go
+++ b/internal/scale/design.go
@@ -1,6 +1,6 @@
 package scale
 
-// The fleet ahead, from the users' letter.
+// Sizes of the target fleet that measurements are scaled to.
 const (
 	Balancers = 950
 	Upstreams = 14000
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -1,5 +1,6 @@
-// Package scale measures how what a balancer spends grows with the fleet, and fits that growth to a form, so that a
-// figure at a size that one machine does not hold is worked out from slopes. Nothing of it is linked into the balancer.
+// Package scale measures how a balancer's resource use grows with the size of the fleet. It fits a growth curve to the
+// measurements, from which the use at sizes beyond one machine is extrapolated. It also has a soak test of restarts.
+// The balancer's program does not import this package.
 package scale
 
 import (
@@ -8,10 +9,10 @@
 	"strconv"
 )
 
-// Form is how a figure grows with the one that is varied.
+// Form is the kind of curve by which a figure grows with the varied quantity.
 type Form string
 
-// The forms, simplest first. NoForm is what no points give.
+// The forms, simplest first. NoForm is the form of a fit without points.
 const (
 	NoForm   Form = ""
 	Constant Form = "constant"
@@ -21,32 +22,33 @@
 )
 
 const (
-	// fitNoise is the relative error, as a root of the mean square, up to which a form fits: runs of one point differ as
-	// much. A simpler form is also taken if it errs by no more than fitMargin times the best one's error.
+	// fitTolerance is the relative root mean square error up to which a form is accepted, since repeated measurements
+	// differ by as much. A form is also accepted if its error is at most simplerFormMargin times the smallest one.
 	fitTolerance      = 0.05
 	simplerFormMargin = 1.25
-	// WorstAllowed is the relative error from which on a point does not fit, and is shown.
+	// MaxPointError is the relative error above which a point is reported as not fitting.
 	MaxPointError = 0.25
 )
 
-// Fit is the form that a row of points was found to have: A + B*g(n), where g is 0, n, n*ln(n) or n*n.
+// Fit is the curve fitted to a series of points: Intercept + Coefficient*g(n), where g(n) is 0, n, n*ln(n) or n*n,
+// depending on the form.
 type Fit struct {
 	Form        Form    `json:"form"`
 	Intercept   float64 `json:"a"`
 	Coefficient float64 `json:"b"`
-	RMS         float64 `json:"rms"` // relative error, as a root of the mean square
-	// Worst is the largest relative error, (measured - fitted) / measured, without its sign; it is that of the point
-	// WorstX, WorstY. Fits is false if it is over WorstAllowed.
+	RMS         float64 `json:"rms"` // root mean square of the relative errors
+	// WorstError is the largest absolute value of (measured - fitted) / measured, found at the point WorstX, WorstY.
+	// Fits reports whether it is at most MaxPointError.
 	WorstError float64 `json:"worst"`
 	WorstX     float64 `json:"worst_x"`
 	WorstY     float64 `json:"worst_y"`
 	Fits       bool    `json:"fits"`
 }
 
-// FitPoints finds the simplest form that fits the points within their noise, by least squares of the relative error: a
-// point of a small fleet weighs as much as one of a large fleet. Neither coefficient is below zero, since what is
-// spent neither begins there nor shrinks with the fleet; points that do are shown as not fitting. Of x and y the
-// shorter one counts. Without points the form is NoForm.
+// FitPoints returns the simplest form that fits the points within the tolerance, by least squares of the relative
+// error, so that points of small and large fleets have the same weight. Intercept and Coefficient are never negative,
+// since resource use is not negative and does not fall with the size of the fleet; points that contradict this are
+// reported as not fitting. If x and y differ in length, the excess is ignored. Without points the form is NoForm.
 func FitPoints(x, y []float64) Fit {
 	n := min(len(x), len(y))
 	if n == 0 {
@@ -66,13 +68,13 @@
 			return f
 		}
 	}
-	return fits[0] // only where no error is a number
+	return fits[0] // reached only if all errors are NaN
 }
 
-// At is the figure that the fit gives for n.
+// At returns the fitted value at n.
 func (f Fit) At(n float64) float64 { return f.Intercept + f.Coefficient*f.Form.basis(n) }
 
-// String is the fit as tables show it.
+// String returns the fit as text for the result tables.
 func (f Fit) String() string {
 	if f.Form == NoForm {
 		return "no points"
@@ -84,7 +86,7 @@
 	return text
 }
 
-// formula is A + B*g(n) in words.
+// formula returns the fitted curve as text, such as "linear 100 + 2*n".
 func (f Fit) formula() string {
 	if f.Form == Constant {
 		return "constant " + digits(f.Intercept)
@@ -93,10 +95,10 @@
 		Square: "n*n"}[f.Form])
 }
 
-// digits is x with three significant digits.
+// digits formats x with three significant digits.
 func digits(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
 
-// of is the part of the form that grows.
+// basis returns g(n) of the form, see Fit.
 func (f Form) basis(n float64) float64 {
 	switch f {
 	case Linear:
@@ -109,15 +111,15 @@
 	return 0
 }
 
-// fitted is the best fit of one form. Each point is weighed by the inverse of its square, which makes errors relative;
-// one at zero as if it were a thousandth of the largest.
+// fitForm returns the least-squares fit of one form. Each point is weighted by the inverse of its squared value, which
+// makes errors relative. Values below a thousandth of the largest are weighted as if they were that large.
 func fitForm(form Form, x, y []float64) Fit {
 	largest := 0.0
 	for _, v := range y {
 		largest = max(largest, math.Abs(v))
 	}
 	magnitude := func(i int) float64 { return max(math.Abs(y[i]), largest/1000, math.SmallestNonzeroFloat32) }
-	var sumW, sumG, sumGG, sumY, sumGY float64 // weighted sums of 1, g, g*g, y, g*y
+	var sumW, sumG, sumGG, sumY, sumGY float64 // weighted sums of 1, g, g*g, y and g*y
 	for i := range x {
 		weight, g := 1/(magnitude(i)*magnitude(i)), form.basis(x[i])
 		sumW, sumG, sumGG, sumY, sumGY = sumW+weight, sumG+weight*g, sumGG+weight*g*g, sumY+weight*y[i], sumGY+weight*g*y[i]
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -9,7 +9,7 @@
 
 var fitSizes = []float64{875, 1750, 3500, 7000, 14000}
 
-// points are the values of a form, each off by the errors in turn.
+// pointValues returns value at each x, multiplied by 1 plus the relative errors in turn.
 func pointValues(x []float64, value func(n float64) float64, errs ...float64) []float64 {
 	y := make([]float64, len(x))
 	for i, n := range x {
@@ -31,7 +31,7 @@
 	}{
 		{"constant", Constant, func(float64) float64 { return 40 }, fitSizes},
 		{"linear", Linear, func(n float64) float64 { return 100 + 0.2*n }, fitSizes},
-		{"linear from nothing", Linear, func(n float64) float64 { return 3 * n }, fitSizes},
+		{"linear without intercept", Linear, func(n float64) float64 { return 3 * n }, fitSizes},
 		{"n log n over a wide range", NLogN, func(n float64) float64 { return n * math.Log(n) }, []float64{2, 16, 256, 4096, 65536}},
 		{"square", Square, func(n float64) float64 { return 5 + 0.001*n*n }, fitSizes},
 	} {
@@ -51,7 +51,7 @@
 func TestFitPrefersSimplerFormWithinTolerance(t *testing.T) {
 	y := pointValues(fitSizes, func(n float64) float64 { return 1000 + 0.002*n }, 0.04, -0.04, 0.04, -0.04, 0.04)
 	if f := FitPoints(fitSizes, y); f.Form != Constant {
-		t.Errorf("a growth of 3%% under noise of 4%%: %v", f)
+		t.Errorf("growth of 3%% with noise of 4%%: got %v, want constant", f)
 	}
 }
 
@@ -60,14 +60,14 @@
 	y[2] *= 3
 	f := FitPoints(fitSizes, y)
 	if f.Fits || f.WorstError <= MaxPointError || !strings.Contains(f.String(), "does not fit at n=") {
-		t.Errorf("a point three times off: %v", f)
+		t.Errorf("point at three times the curve: got %v, want not fitting", f)
 	}
 	f = FitPoints(fitSizes, pointValues(fitSizes, func(n float64) float64 { return n * n * n }))
 	if f.Fits || f.Form != Square {
-		t.Errorf("a cube: %v, want the steepest form, not fitting", f)
+		t.Errorf("cubic growth: got %v, want square, not fitting", f)
 	}
 	if f := FitPoints(fitSizes, pointValues(fitSizes, func(n float64) float64 { return 1e6 / n })); f.Fits {
-		t.Errorf("a falling figure: %v", f)
+		t.Errorf("falling values: got %v, want not fitting", f)
 	}
 }
 
@@ -79,7 +79,7 @@
 		func(n float64) float64 { return -n },
 	} {
 		if f := FitPoints(fitSizes, pointValues(fitSizes, value)); f.Intercept < 0 || f.Coefficient < 0 || f.At(1) < 0 {
-			t.Errorf("%v", f)
+			t.Errorf("got a negative value: %v", f)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		t.Errorf("two points: %v", f)
 	}
 	if f := FitPoints([]float64{5, 5, 5}, []float64{1, 1.01, 0.99}); f.Form != Constant {
-		t.Errorf("one size three times: %v", f)
+		t.Errorf("three points at one size: %v", f)
 	}
 }
 
@@ -111,6 +111,6 @@
 	}
 	var back Slope
 	if err := json.Unmarshal(text, &back); err != nil || back.Fit != s.Fit || back.Name != "step" || len(back.Y) != 3 {
-		t.Errorf("%s: %v, %v", text, back, err)
+		t.Errorf("JSON %s: decoded %v, error %v", text, back, err)
 	}
 }
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -19,25 +19,26 @@
 	"garnettide/internal/wire"
 )
 
-// What one process spends, measured by calling the module and the reading of the configuration as the balancer does,
-// with no sockets and no other process. The loop round the module is not in these figures: hollow balancers have it.
+// This file measures what the decision module and the loading of configurations cost in one process, without sockets.
+// The cost of the event loop that calls the module is not included; hollow balancers include it.
 
-// What is held while another figure varies: small, so that it does not hide what varies.
+// Quantities that are fixed while another one varies. They are small, so that their cost is low.
 const (
 	fixedUpstreams = 300
 	fixedClasses   = 3
 	fixedTenants   = 3
 )
 
-const fleetRequestRate = 150000 // requests a second to the whole fleet, from the letter
+const fleetRequestRate = 150000 // peak requests per second to the whole target fleet
 
-// batchTime is the processor time of a batch: many times what its reading errs by.
+// minBatchTime is the processor time that a batch takes at least, well above the resolution of getrusage. Batches of
+// maxBatchCalls may take less.
 var minBatchTime = 25 * time.Millisecond
 
 const (
-	maxBatchCalls = 1 << 16 // calls in a batch
-	batchCount    = 5       // of which the cheapest counts: others use the core too
-	heapRuns      = 3       // of which the smallest counts
+	maxBatchCalls = 1 << 16
+	batchCount    = 5 // the lowest cost is taken, since other processes use the processors too
+	heapRuns      = 3 // the smallest heap is taken
 )
 
 var (
@@ -47,17 +48,17 @@
 	sixteenthSizes = doublingSizes(16)
 )
 
-// eighths are five sizes, each twice the one before, up to most.
+// doublingSizes returns five sizes up to largest, each twice the one before.
 func doublingSizes(largest int) []int {
 	return []int{largest / 16, largest / 8, largest / 4, largest / 2, largest}
 }
 
-// inProcessRuns is how often a run takes all of these slopes.
+// inProcessRuns is how often a run measures all in-process slopes.
 const inProcessRuns = 3
 
-// InProcessSlopes measures all slopes of this file so many times, one after another, a run in less than a minute, and
-// takes the least figure of each point: others use the machine too. It tells progress, if that is not nil, which one
-// comes. A slope that could not be measured has no points, and its Note says why.
+// InProcessSlopes measures all in-process slopes the given number of times and takes the lowest figure at each point,
+// since other processes use the machine too. If progress is not nil, it is called with the name of each slope before it
+// is measured. A slope that could not be measured has no points, and its Note holds the reason.
 func InProcessSlopes(runs int, progress func(string)) []Slope {
 	var slopes []Slope
 	for run := range runs {
@@ -75,13 +76,14 @@
 	return slopes
 }
 
-// measurement is a slope to take: at gives the figure for one size.
+// measurement describes an in-process slope. The function measure returns the figure for one size.
 type measurement struct {
 	name, unit, variable, note string
 	sizes                      []int
 	measure                    func(n int) (float64, error)
 }
 
+// slope measures all sizes and fits the slope. If one of them fails, the slope has no points.
 func (m measurement) slope() Slope {
 	var x, y []float64
 	for _, n := range m.sizes {
@@ -149,20 +151,21 @@
 
 const quotaNote = "a tenant with a quota of 2.1/s that asks for 80% of it, by chance and evenly; the same each time"
 
-// --- The means of measuring ---
+// --- Measuring ---
 
-// spent is the processor time that this process has had.
+// processCPUTime returns the processor time that this process has used.
 func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0 // it fails for wrong arguments only
+		return 0 // getrusage fails only for invalid arguments
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cost is the processor time of one call of op, what the collector takes for it included: the cheapest batch's mean.
+// cpuPerCall returns the mean processor time of a call of op in the cheapest of several batches, including that of the
+// garbage collector.
 func cpuPerCall(op func()) time.Duration {
-	op() // what the first call alone costs is no slope
+	op() // leaves out one-time costs of the first call
 	lowest := time.Duration(0)
 	for calls, run := 1, 0; run < batchCount; {
 		runtime.GC()
@@ -183,9 +186,10 @@
 	return lowest
 }
 
+// milliseconds returns d in ms.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// live is what made holds, in MB, after a collection.
+// retainedMB returns the size of the heap in MB that the result of build keeps alive, the smallest of several runs.
 func retainedMB(build func() (any, error)) (float64, error) {
 	lowest := 0.0
 	for run := range heapRuns {
@@ -203,21 +207,21 @@
 	return lowest, nil
 }
 
-// heap is the live heap in MB.
+// liveHeapMB returns the size of the live heap in MB.
 func liveHeapMB() float64 {
 	runtime.GC()
-	runtime.GC() // what finalizers and pools held on to
+	runtime.GC() // frees what finalizers and pools kept alive during the first collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc) / 1e6
 }
 
-// host is a garnettide.Host that does nothing but note what was asked last.
+// recordingHost is a garnettide.Host that counts sent and refused requests and records the last request that was sent.
 type recordingHost struct {
-	sent, refused int // how often
+	sent, refused int // numbers of calls
 	id            garnettide.RequestID
 	upstream      garnettide.UpstreamID
-	tick          uint64 // token of the first timer: the row of ticks
+	tick          uint64 // token of the first timer that was set, which drives the module's ticks
 	timerCount    int
 }
 
@@ -240,9 +244,9 @@
 	}
 }
 
-// --- What is fed to it ---
+// --- Inputs ---
 
-// settingsOf are settings of the fleet ahead with so many classes and tenants.
+// fleetSettings returns settings of the target fleet with the given numbers of classes and tenants.
 func fleetSettings(classes, tenants int) garnettide.Settings {
 	s := garnettide.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
 		Weights: garnettide.WeightNominal, Reports: garnettide.ReportInResponses, Granularity: 5 * time.Millisecond,
@@ -262,7 +266,7 @@
 func className(i int) string  { return fmt.Sprintf("svc-%03d-route-%05d", i%950, i) }
 func tenantName(i int) string { return fmt.Sprintf("customer-%06d", i) }
 
-// upstreamList are n upstreams that all are up.
+// upstreamList returns n upstreams that are all up.
 func upstreamList(n int) []garnettide.Upstream {
 	list := make([]garnettide.Upstream, n)
 	for i := range list {
@@ -273,7 +277,7 @@
 
 func zoneOfIndex(i int) string { return "z" + strconv.Itoa(1+i%7) }
 
-// balancer is a Balancer with its list, and its Host.
+// newListedBalancer returns a Balancer that has received a full list of upstreams, and its Host.
 func newListedBalancer(upstreams, classes, tenants int) (*garnettide.Balancer, *recordingHost, error) {
 	h := &recordingHost{}
 	b, err := garnettide.New(fleetSettings(classes, tenants), 1, 0, h)
@@ -284,13 +288,13 @@
 	return b, h, nil
 }
 
-// The configuration as the operators write it. Its parts are named by the pages of the wire and of deployment.
+// Types for JSON objects with the keys of the wire formats.
 type (
 	jsonObject  map[string]any
 	jsonObjects []jsonObject
 )
 
-// settingsText is the settings object of a configuration.
+// settingsObject returns the settings object of a configuration.
 func settingsObject(classes, tenants int) jsonObject {
 	profiles, customers := make(jsonObjects, classes), make(jsonObjects, tenants)
 	for i := range profiles {
@@ -309,7 +313,7 @@
 		"reporting": jsonObject{"fields": []string{"load_share", "tps"}, "via": "piggyback"}}
 }
 
-// listText is a whole list in discovery's form.
+// listObject returns a full list of n upstreams as discovery sends it.
 func listObject(n int) jsonObject {
 	members := make(jsonObjects, n)
 	for i := range members {
@@ -319,17 +323,17 @@
 	return jsonObject{"revision": 41, "complete": true, "members": members}
 }
 
-// configText is a whole configuration file.
+// configJSON returns a configuration file with a known list of the given number of upstreams.
 func configJSON(classes, tenants, known int) ([]byte, error) {
 	return json.Marshal(jsonObject{"name": "n1", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
 		"limits": jsonObject{"cores": 1.0, "memory_mb": 256, "sockets": 1024}, "known": listObject(known),
 		"settings": settingsObject(classes, tenants)})
 }
 
-// --- The figures ---
+// --- Figures ---
 
-// secondly is what the module's step costs, that comes once a second. With reports one answer a second tells its
-// server's rate, by which quotas follow the traffic.
+// stepCost measures the module's step, which runs once a second, in ms. If withReports is set, each step follows a
+// response that reports the request rate of its upstream, from which quotas follow the traffic.
 func stepCost(upstreams, tenants int, withReports bool) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, tenants)
 	if err != nil {
@@ -348,17 +352,18 @@
 	})), nil
 }
 
-// tick is what the module's look at its subset costs, that comes some times in each aim.
+// tick measures the module's check of its upstreams between steps, in ms. The check runs several times within a latency
+// target.
 func tick(upstreams int) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
-	b.Timer(time.Second, h.tick) // the step; none follows, as the clock stands still
+	b.Timer(time.Second, h.tick) // runs the step; no other follows, since the time stays the same
 	return milliseconds(cpuPerCall(func() { b.Timer(time.Second, h.tick) })), nil
 }
 
-// change is what one changed entry costs the module: an upstream drains, or is up again.
+// changeCost measures the module's handling of one changed entry, in ms: an upstream drains, or is up again.
 func changeCost(upstreams int) (float64, error) {
 	b, _, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
@@ -367,26 +372,26 @@
 	entry, now := upstreamList(upstreams)[upstreams/2:upstreams/2+1], time.Duration(0)
 	return milliseconds(cpuPerCall(func() {
 		now += time.Millisecond
-		entry[0].State = garnettide.Draining - entry[0].State // to and fro
+		entry[0].State = garnettide.Draining - entry[0].State // alternates between Draining and the original state
 		b.Members(now, garnettide.ListDelta, entry)
 	})), nil
 }
 
-// wholeList is what a whole list costs the module in which nothing is new, as after a watch that had failed.
+// fullListCost measures the module's handling of a full list without changes, as received after a failed watch, in ms.
 func fullListCost(upstreams int) (float64, error) {
 	b, _, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
-	all, now := upstreamList(upstreams), time.Duration(0)
+	list, now := upstreamList(upstreams), time.Duration(0)
 	return milliseconds(cpuPerCall(func() {
 		now += time.Millisecond
-		b.Members(now, garnettide.ListFull, all)
+		b.Members(now, garnettide.ListFull, list)
 	})), nil
 }
 
-// listDecode is what the reading of a whole list costs: the decoding, the look at each address and the order that the
-// discovery client gives it, over entries of the same shape. The client's own are not to be had from outside.
+// listDecodeCost measures the decoding of a full list in ms, including the checks of addresses and the sorting that the
+// discovery client does. It uses a type of the same shape as the client's entry type, which is not exported.
 func listDecodeCost(upstreams int) (float64, error) {
 	text, err := json.Marshal(listObject(upstreams))
 	if err != nil {
@@ -420,12 +425,14 @@
 	return milliseconds(perCall), err
 }
 
+// listSizeKB returns the size of an encoded full list in KB.
 func listSizeKB(upstreams int) (float64, error) {
 	text, err := json.Marshal(listObject(upstreams))
 	return float64(len(text)) / 1e3, err
 }
 
-// requestCost is what a request costs the module, in us: taken, sent at once, and answered, at a balancer's mean rate.
+// requestCost measures the module's handling of a request that is accepted, sent at once and answered, in us. Requests
+// come at the mean rate of one balancer.
 func requestCost(upstreams int) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
@@ -448,6 +455,7 @@
 	return milliseconds(perCall) * 1000, nil
 }
 
+// newBalancerCost measures garnettide.New, in ms.
 func newBalancerCost(classes, tenants int) (float64, error) {
 	s, err := fleetSettings(classes, tenants), error(nil)
 	perCall := cpuPerCall(func() {
@@ -458,7 +466,7 @@
 	return milliseconds(perCall), err
 }
 
-// loadCost is what the reading and checking of a configuration file costs.
+// loadConfigCost measures the reading and validation of a configuration file, in ms.
 func loadConfigCost(classes, tenants, known int) (float64, error) {
 	getenv, remove, err := configFile(classes, tenants, known)
 	if err != nil {
@@ -473,7 +481,7 @@
 	return milliseconds(perCall), err
 }
 
-// loadAllocated is how much memory the reading of a configuration file allocates in all, in MB.
+// loadConfigAllocatedMB returns the total memory in MB that the reading of a configuration file allocates.
 func loadConfigAllocatedMB(tenants int) (float64, error) {
 	getenv, remove, err := configFile(fixedClasses, tenants, 0)
 	if err != nil {
@@ -487,7 +495,8 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / 1e6, err
 }
 
-// configFile writes a configuration to a file of its own, and gives the environment that names it.
+// configFile writes a configuration to a temporary file. It returns a function that looks up the environment variables
+// which refer to it, and one that removes it.
 func configFile(classes, tenants, known int) (getenv func(string) string, remove func(), err error) {
 	text, err := configJSON(classes, tenants, known)
 	if err != nil {
@@ -506,11 +515,13 @@
 		func() { os.RemoveAll(dir) }, nil
 }
 
+// configSizeKB returns the size of a configuration file in KB.
 func configSizeKB(classes, tenants, known int) (float64, error) {
 	text, err := configJSON(classes, tenants, known)
 	return float64(len(text)) / 1e3, err
 }
 
+// decodeSettingsCost measures wire.DecodeSettings, in ms.
 func decodeSettingsCost(classes, tenants int) (float64, error) {
 	text, err := json.Marshal(settingsObject(classes, tenants))
 	if err != nil {
@@ -524,7 +535,8 @@
 	return milliseconds(perCall), err
 }
 
-// liveMemory is what a Balancer holds with its list and its settings, read as the balancer reads them.
+// balancerHeapMB returns the heap in MB that a Balancer keeps alive with its list and its settings, which are decoded as
+// the balancer's program decodes them.
 func balancerHeapMB(upstreams, classes, tenants int) (float64, error) {
 	text, err := json.Marshal(settingsObject(classes, tenants))
 	if err != nil {
@@ -546,9 +558,11 @@
 
 // --- Reload ---
 
+// noYield is a yield function for plans that does nothing.
 func noYield() {}
 
-// plans are two plans of a part of the fleet ahead, that differ in one class and one tenant.
+// reloadPlans returns two plans for the given number of sixteenths of the target fleet, which differ in one class and
+// one tenant.
 func reloadPlans(sixteenths int) (current, next *garnettide.Plan, err error) {
 	s := fleetSettings(Classes*sixteenths/16, Tenants*sixteenths/16)
 	if current, err = garnettide.NewPlan(s, noYield); err != nil {
@@ -560,6 +574,7 @@
 	return current, next, err
 }
 
+// newPlanCost measures garnettide.NewPlan, in ms.
 func newPlanCost(sixteenths int) (float64, error) {
 	s, err := fleetSettings(Classes*sixteenths/16, Tenants*sixteenths/16), error(nil)
 	perCall := cpuPerCall(func() {
@@ -570,6 +585,7 @@
 	return milliseconds(perCall), err
 }
 
+// planSinceCost measures the comparison of two plans, in ms.
 func planSinceCost(sixteenths int) (float64, error) {
 	current, next, err := reloadPlans(sixteenths)
 	if err != nil {
@@ -578,7 +594,7 @@
 	return milliseconds(cpuPerCall(func() { next.Since(current, noYield) })), nil
 }
 
-// reconfigureCost is what is left on the loop of a change of the settings, in us.
+// reconfigureCost measures the part of a reload that runs on the event loop, in us. Each call makes two changes.
 func reconfigureCost(sixteenths int) (float64, error) {
 	reconfigure, err := alternatePlans(sixteenths)
 	if err != nil {
@@ -587,7 +603,7 @@
 	return milliseconds(cpuPerCall(reconfigure)) * 1000, nil
 }
 
-// reconfigured has a Balancer go by two plans in turn.
+// alternatePlans returns a function that reconfigures a Balancer to a second plan and back to the first.
 func alternatePlans(sixteenths int) (func(), error) {
 	current, next, err := reloadPlans(sixteenths)
 	if err != nil {
@@ -604,7 +620,7 @@
 	}, nil
 }
 
-// twoPlans is what is held while a new plan stands ready and the old one is in force.
+// twoPlansHeapMB returns the heap in MB that a Balancer and a new plan keep alive, while the old plan is in force.
 func twoPlansHeapMB(sixteenths int) (float64, error) {
 	type pair struct {
 		b   *garnettide.Balancer
@@ -626,16 +642,16 @@
 const (
 	tenantQuota      = 2.1
 	quotaUtilization = 0.8
-	quotaWarmup      = 3000 * time.Second // many times what a count of one takes to run out at a 950th of the quota
+	quotaWarmup      = 3000 * time.Second // many times longer than a count of 1 takes to drain at 1/950 of the quota
 	quotaDuration    = 20000 * time.Second
 )
 
-// quotaShare is the share, in percent, of requests within a tenant's quota that are taken for over it, where its
-// requests come evenly through used of a fleet of balancers, for so long. No clock but the requests' own is in it.
+// overQuotaPercent returns the percentage of requests that are treated as over quota although their tenant is within its
+// quota. The requests are spread evenly over usedBalancers of the fleet. Time is simulated, so results are repeatable.
 //
-// The module tells nobody what it takes a request for. So the balancers here have no upstreams, what is over the quota
-// has no worth, and every request may wait for longer than all this takes: one that is over its quota is refused at
-// once, and any other is held.
+// The module does not report whether a request is over quota. The balancers therefore have no upstreams, requests over
+// quota have no worth, and deadlines are longer than the simulation: requests over quota are refused at once, and all
+// others are queued.
 func overQuotaPercent(balancers, usedBalancers int, duration time.Duration) (float64, error) {
 	s := fleetSettings(1, 0)
 	longDeadline := 100 * (quotaWarmup + duration)
@@ -651,7 +667,7 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	counted, overQuota, elapsed := 0, 0, 0.0
+	counted, overQuota, elapsed := 0, 0, 0.0 // elapsed is in seconds
 	for id := garnettide.RequestID(1); ; id++ {
 		elapsed += rng.ExpFloat64() / (tenantQuota * quotaUtilization)
 		now := time.Duration(elapsed * float64(time.Second))
--- a/internal/scale/inprocess_test.go
+++ b/internal/scale/inprocess_test.go
@@ -13,25 +13,25 @@
 	"garnettide/internal/proxy"
 )
 
-// Every measurement gives a figure, here at its smallest size and in short batches.
+// TestInProcessMeasurements runs each measurement at its smallest size with short batches.
 func TestInProcessMeasurements(t *testing.T) {
 	defer func(was time.Duration) { minBatchTime = was }(minBatchTime)
 	minBatchTime = time.Millisecond
 	seen := map[string]bool{}
 	for _, m := range inProcessMeasurements {
 		if m.unit == "%" {
-			continue // the quotas' own test has them
+			continue // covered by TestOverQuotaPercent
 		}
 		if seen[m.name+"/"+m.variable] {
-			t.Errorf("%s over %s is there twice", m.name, m.variable)
+			t.Errorf("%s over %s: listed twice", m.name, m.variable)
 		}
 		seen[m.name+"/"+m.variable] = true
 		if len(m.sizes) < 4 || m.sizes[len(m.sizes)-1] < 8*m.sizes[0] {
-			t.Errorf("%s over %s: sizes %v are no four over a factor of eight", m.name, m.variable, m.sizes)
+			t.Errorf("%s over %s: got sizes %v, want at least four that span a factor of 8", m.name, m.variable, m.sizes)
 		}
 		y, err := m.measure(m.sizes[0])
 		if err != nil || math.IsNaN(y) || math.IsInf(y, 0) {
-			t.Errorf("%s over %s: %v, %v", m.name, m.variable, y, err)
+			t.Errorf("%s over %s: got %v, error %v", m.name, m.variable, y, err)
 		}
 	}
 }
@@ -44,11 +44,11 @@
 		return float64(n), nil
 	}}
 	if s := m.slope(); len(s.X) != 0 || s.Fit.Form != NoForm || !strings.Contains(s.Note, "not run: at 4: no room") {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v, want no points and a note with the reason", s)
 	}
 	m.sizes = []int{1, 2, 8}
 	if s := m.slope(); len(s.X) != 3 || s.Fit.Form != Linear || s.Note != "" {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v, want three points with a linear fit", s)
 	}
 }
 
@@ -57,17 +57,18 @@
 	first, second := NewSlope("a", "ms", "n", x, []float64{10, 21, 40, 95}), NewSlope("a", "ms", "n", x, []float64{12, 20, 44, 80})
 	first.Note = "held"
 	if s := first.lowest(second); !slices.Equal(s.Y, []float64{10, 20, 40, 80}) || s.Fit != FitPoints(x, s.Y) || s.Note != "held" || first.Y[1] != 21 {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v, want the lower values of both runs", s)
 	}
 	none := Slope{Name: "a", Note: "not run: no room"}
 	for _, s := range []Slope{first.lowest(none), none.lowest(first)} {
 		if len(s.X)+len(s.Y) > 0 || s.Fit != (Fit{}) || s.Note != none.Note {
-			t.Errorf("%+v", s)
+			t.Errorf("got %+v, want no points and the note of the run that failed", s)
 		}
 	}
 }
 
-// What is measured is what it is said to be: the configuration holds so many of each, and they arrive.
+// TestConfigFileHoldsRequestedCounts checks that the generated configuration holds the requested numbers of classes,
+// tenants and upstreams.
 func TestConfigFileHoldsRequestedCounts(t *testing.T) {
 	getenv, remove, err := configFile(5, 7, 11)
 	if err != nil {
@@ -80,11 +81,11 @@
 	}
 	classes, tenants := c.Plan.Size()
 	if classes != 5 || tenants != 7 || len(c.Known.Members) != 11 {
-		t.Errorf("%d classes, %d tenants, %d upstreams", classes, tenants, len(c.Known.Members))
+		t.Errorf("got %d classes, %d tenants, %d upstreams, want 5, 7, 11", classes, tenants, len(c.Known.Members))
 	}
 }
 
-// allocated is how many bytes op allocates, the least of some runs.
+// allocatedBytes returns how many bytes op allocates, the lowest of several runs.
 func allocatedBytes(op func()) float64 {
 	op()
 	lowest := math.Inf(1)
@@ -98,8 +99,8 @@
 	return lowest
 }
 
-// What the module does for a change, for a second and for its settings grows no more steeply than the list or the
-// settings. It is judged by the bytes that it allocates, which no other process changes.
+// TestControlAllocationsGrowAtMostLinearly guards against superlinear cost of list changes, steps and settings. It
+// compares allocated bytes, which do not depend on the load of the machine.
 func TestControlAllocationsGrowAtMostLinearly(t *testing.T) {
 	const small, times, margin = 200, 8, 1.5
 	for _, c := range []struct {
@@ -153,7 +154,7 @@
 	}
 }
 
-// What a change of the settings costs the loop does not grow with what the settings hold.
+// TestReconfigureCostIndependentOfSettingsSize guards against work on the event loop that grows with the settings.
 func TestReconfigureCostIndependentOfSettingsSize(t *testing.T) {
 	var bytes [2]float64
 	for i, sixteenths := range []int{1, 8} {
@@ -164,11 +165,11 @@
 		bytes[i] = allocatedBytes(reconfigure)
 	}
 	if bytes[1] > bytes[0]+4096 {
-		t.Errorf("%.0f bytes for 1,062 classes and 4,500 tenants, %.0f for eight times as many", bytes[0], bytes[1])
+		t.Errorf("got %.0f bytes for 1,062 classes and 4,500 tenants, %.0f for eight times as many", bytes[0], bytes[1])
 	}
 }
 
-// A request that is sent asks one thing of the Host, however long the list is.
+// TestRequestIsSentOnceForAnyListLength checks that a request leads to a single Send of the Host.
 func TestRequestIsSentOnceForAnyListLength(t *testing.T) {
 	for _, n := range []int{500, 4000} {
 		b, h, err := newListedBalancer(n, 2, 2)
@@ -178,18 +179,18 @@
 		b.Request(time.Minute, garnettide.Request{ID: 1, Budget: time.Second, Class: className(0)})
 		b.Outcome(time.Minute+time.Millisecond, garnettide.Outcome{ID: 1, Upstream: h.upstream, Latency: time.Millisecond})
 		if h.sent != 1 || h.refused != 0 {
-			t.Errorf("%d upstreams: sent %d times, refused %d times", n, h.sent, h.refused)
+			t.Errorf("%d upstreams: sent %d times, refused %d times, want 1 and 0", n, h.sent, h.refused)
 		}
 	}
 }
 
-// The share taken for over a quota goes by the requests' own clock alone, so it is the same each time. One balancer
-// lets nearly all pass; these are upper bounds, and what mends the quotas of a fleet lowers them.
+// TestOverQuotaPercent checks that the percentage of requests wrongly treated as over quota is repeatable and stays below
+// an upper bound for several fleets.
 func TestOverQuotaPercent(t *testing.T) {
 	const duration = 5000 * time.Second
 	for _, c := range []struct {
 		balancers, usedBalancers int
-		maxPercent               float64 // percent
+		maxPercent               float64
 	}{{1, 1, 10}, {3, 3, 20}, {30, 30, 50}, {Balancers, 8, 99.5}} {
 		first, err := overQuotaPercent(c.balancers, c.usedBalancers, duration)
 		if err != nil {
@@ -197,7 +198,7 @@
 		}
 		second, _ := overQuotaPercent(c.balancers, c.usedBalancers, duration)
 		if first > c.maxPercent || first != second {
-			t.Errorf("%d of %d balancers: %.1f%%, then %.1f%%, at most %.1f%%", c.usedBalancers, c.balancers, first, second, c.maxPercent)
+			t.Errorf("%d of %d balancers: got %.1f%%, then %.1f%%, want equal values of at most %.1f%%", c.usedBalancers, c.balancers, first, second, c.maxPercent)
 		}
 	}
 }
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,9 +11,9 @@
 	"text/tabwriter"
 )
 
-// This file writes a run's results: tables for people, and the same as JSON.
+// This file writes the results of a run as text tables and as JSON.
 
-// Table writes the tables.
+// WriteTables writes the results as text tables.
 func (r *Run) WriteTables(w io.Writer) {
 	fmt.Fprintf(w, "\nscale run of %s, commit %s, %s, %d cores used, %.0f s, at most %d MB\n", r.Started, r.Commit, r.GoVersion, r.processors, r.Seconds, r.PeakMemoryMB)
 	writeInProcessTable(w, r.InProcess)
@@ -28,7 +28,7 @@
 	}
 }
 
-// inProcessTable writes the slopes of one process; nothing where there are none.
+// writeInProcessTable writes the table of in-process slopes. It writes nothing if there are none.
 func writeInProcessTable(w io.Writer, slopes []Slope) {
 	if len(slopes) == 0 {
 		return
@@ -45,6 +45,8 @@
 	}
 }
 
+// writeTable writes a table with a column for each point and a row for each figure. Columns of saturated points are
+// marked with an exclamation mark.
 func (r *SlopeResult) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "\nslope %s; figures are for one hollow balancer where nothing else is said\n", r.Name)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -83,6 +85,7 @@
 	}
 }
 
+// writeTable writes a table with a column for each phase, followed by the figures of the scene.
 func (s *Scene) writeTable(w io.Writer) {
 	fmt.Fprintf(w, "\nscene %s: %d hollow and %d real balancers, %d upstreams, %d classes, %d tenants\n", s.Name, s.Size.Hollow, s.Size.Real,
 		s.Size.Upstreams, s.Size.Classes, s.Size.Tenants)
@@ -157,6 +160,7 @@
 	}
 }
 
+// formatCounts returns counts as "name: count" pairs, sorted by name.
 func formatCounts(counts map[string]int) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
@@ -165,14 +169,14 @@
 	return strings.Join(parts, ", ")
 }
 
-// WriteJSON writes all that was measured into a file.
+// WriteJSON writes the results to a file as indented JSON.
 func (r *Run) WriteJSON(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return fmt.Errorf("encoding the results: %w", err)
+		return fmt.Errorf("encode results: %w", err)
 	}
 	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
-		return fmt.Errorf("writing the results: %w", err)
+		return fmt.Errorf("write results: %w", err)
 	}
 	return nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -16,25 +16,26 @@
 	"time"
 )
 
-// This file is the run as a whole: what is to be run, in which order, with which bounds.
+// This file holds the options of a run and runs the selected slopes and scenes in order.
 
-// Options say what to run.
+// Options select what to run.
 type Options struct {
-	Slopes           []string // names, or "all"
-	Scenes           []string
-	MeasureInProcess bool          // the slopes of one process, by calls
-	Size             Size          // zero figures: the base's
-	PhaseDuration    time.Duration // a phase of a slope, or a scene's play
-	SettingsInterval time.Duration // from one change of the settings to the next, in the first scene
-	CutDuration      time.Duration // how long discovery is cut off in the last scene
-	Program          string        // the real balancers'; empty: built
-	OlderProgram     string        // a program that every second real balancer runs in its place, from an older commit; empty: none
-	Log              io.Writer     // progress
+	Slopes           []string      // names, or "all"
+	Scenes           []string      // names, or "all"
+	MeasureInProcess bool          // also measure the slopes of calls within one process
+	Size             Size          // fields that are zero take the defaults of the slope or scene
+	PhaseDuration    time.Duration // of each phase of a slope, and of the changes in the scene settings
+	SettingsInterval time.Duration // between changes of the settings in the scene settings
+	CutDuration      time.Duration // how long discovery is unavailable in the scene cut
+	Program          string        // path of the balancer's program; if empty, it is built
+	OlderProgram     string        // path of an older program, run by every second real balancer; if empty, none
+	Log              io.Writer     // receives progress messages
 }
 
+// maxPlayDuration limits Options.PhaseDuration and Options.CutDuration.
 const maxPlayDuration = 10 * time.Minute
 
-// Run is a run and what it has measured.
+// Run holds the state and the results of a run.
 type Run struct {
 	Command      string        `json:"command"`
 	Commit       string        `json:"commit"`
@@ -42,27 +43,27 @@
 	Cores        int           `json:"cores"`
 	Started      string        `json:"began"`
 	Seconds      float64       `json:"seconds"`
-	PeakMemoryMB int64         `json:"peak_memory_mb"` // of all processes, pages that they share counted for each
-	Base         Size          `json:"base"`
+	PeakMemoryMB int64         `json:"peak_memory_mb"` // sum over all processes; pages that they share count in each
+	Base         Size          `json:"base"`           // size of the fleet in slopes, apart from the varied quantity
 	Slopes       []SlopeResult `json:"slopes"`
 	Scenes       []Scene       `json:"scenes"`
-	NotRun       []string      `json:"left"` // what was to be run and was not, and why
+	NotRun       []string      `json:"left"` // selected slopes and scenes that were not run, with the reason
 	InProcess    []Slope       `json:"in_process,omitempty"`
 
 	options      Options
 	base         Size
 	processes    *children
 	programs     []string
-	programNames []string // of these
+	programNames []string // names in the results, by index of programs
 	processors   int
 	log          io.Writer
 	startTime    time.Time
 
 	mu       sync.Mutex
-	abortErr error // why the run has to end
+	abortErr error // reason for ending the run early, or nil; guarded by mu
 }
 
-// Names are the slopes and scenes that there are.
+// Names returns the names of all slopes and scenes, in the order in which they are run.
 func Names() (slopeNames, sceneNames []string) {
 	for _, v := range variations {
 		slopeNames = append(slopeNames, v.name)
@@ -73,20 +74,22 @@
 	return slopeNames, sceneNames
 }
 
-// wanted tells which of names are asked for.
+// selectNames returns the names that are requested, or all names if "all" is among the requested ones. It returns an
+// error for a name that does not exist.
 func selectNames(requested, names []string) ([]string, error) {
 	if slices.Contains(requested, "all") {
 		return names, nil
 	}
-	for _, a := range requested {
-		if !slices.Contains(names, a) {
-			return nil, fmt.Errorf("%q is none of %s", a, strings.Join(names, ", "))
+	for _, name := range requested {
+		if !slices.Contains(names, name) {
+			return nil, fmt.Errorf("unknown name %q, want one of %s", name, strings.Join(names, ", "))
 		}
 	}
 	return requested, nil
 }
 
-// Start runs what o asks for and returns what was measured, also where an error cut it short.
+// Start runs the slopes and scenes that o selects. If a run fails part of the way, Start returns the results so far
+// together with the error. The result is nil if the options are invalid or the run could not begin.
 func Start(o Options) (*Run, error) {
 	slopeNames, sceneNames := Names()
 	var err error
@@ -97,11 +100,11 @@
 		return nil, fmt.Errorf("scene: %w", err)
 	}
 	if o.PhaseDuration <= 0 || o.PhaseDuration > maxPlayDuration || o.CutDuration > maxPlayDuration || o.SettingsInterval < time.Second && slices.Contains(o.Scenes, "settings") {
-		return nil, fmt.Errorf("a time is over zero and at most %v, and between two changes of the settings is a second", maxPlayDuration)
+		return nil, fmt.Errorf("phases must be longer than zero, durations at most %v, and changes of the settings at least a second apart", maxPlayDuration)
 	}
 	dir, err := os.MkdirTemp("", "scale-")
 	if err != nil {
-		return nil, fmt.Errorf("the run's files: %w", err)
+		return nil, fmt.Errorf("create directory of the run: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	r := &Run{Command: strings.Join(os.Args[1:], " "), Commit: describeCommit(), GoVersion: runtime.Version(), Cores: runtime.NumCPU(),
@@ -118,7 +121,7 @@
 	go func() {
 		select {
 		case s := <-signals:
-			r.abort(fmt.Errorf("a signal: %v", s))
+			r.abort(fmt.Errorf("received signal: %v", s))
 		case <-stop:
 		}
 	}()
@@ -129,7 +132,7 @@
 	return r, err
 }
 
-// over takes what s says in place of base's.
+// withDefaults returns base with the fields that are set in s.
 func (s Size) withDefaults(base Size) Size {
 	for _, field := range []struct{ to, from *int }{{&base.Balancers, &s.Balancers}, {&base.Upstreams, &s.Upstreams}, {&base.Zones, &s.Zones},
 		{&base.Classes, &s.Classes}, {&base.Tenants, &s.Tenants}, {&base.Hollow, &s.Hollow}, {&base.Machines, &s.Machines}, {&base.Real, &s.Real}} {
@@ -149,15 +152,16 @@
 	return base
 }
 
-// BuildBalancer builds the balancer's program into dir and returns its path.
+// BuildBalancer builds the balancer's program in dir and returns its path.
 func BuildBalancer(dir string) (string, error) {
 	program := filepath.Join(dir, "olivearch")
 	if out, err := exec.Command("go", "build", "-o", program, "garnettide/cmd/olivearch").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the balancer: %w: %s", err, out)
+		return "", fmt.Errorf("build balancer: %w: %s", err, out)
 	}
 	return program, nil
 }
 
+// runAll runs the selected slopes and scenes. It goes on after one that fails, unless the run is aborted.
 func (r *Run) runAll() error {
 	program := r.options.Program
 	if program == "" && len(r.options.Scenes) > 0 {
@@ -206,28 +210,28 @@
 	return errors.Join(append(errs, r.abortCause())...)
 }
 
-// progress tells what the run is at.
+// logProgress writes a progress message with the time since the start of the run.
 func (r *Run) logProgress(format string, args ...any) {
 	fmt.Fprintf(r.log, "%7.1fs  %s\n", time.Since(r.startTime).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// giveUp ends the run as soon as what is begun has come to its end; the processes end at once.
+// abort stops all processes and makes the run end after its current step.
 func (r *Run) abort(cause error) {
 	r.mu.Lock()
 	r.abortErr = cause
 	r.mu.Unlock()
-	r.logProgress("ending: %v", cause)
+	r.logProgress("aborting: %v", cause)
 	r.processes.endAll()
 }
 
-// failure is why the run has to end; nil: it goes on.
+// abortCause returns the reason why the run was aborted, or nil if it was not.
 func (r *Run) abortCause() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.abortErr
 }
 
-// commit is the commit of the tree that the run was started in, if that is one.
+// describeCommit returns the commit of the Git repository in the working directory, or "unknown".
 func describeCommit() string {
 	out, err := exec.Command("git", "describe", "--always", "--dirty", "--abbrev=12").Output()
 	if err != nil {
--- a/internal/scale/slope.go
+++ b/internal/scale/slope.go
@@ -1,23 +1,24 @@
 package scale
 
-// Slope is one figure over another that was varied while all else was held.
+// Slope is a figure measured at several values of one varied quantity, with all others fixed, and the fitted curve.
 type Slope struct {
 	Name     string `json:"name"`
 	Unit     string `json:"unit"`   // of Y
-	Variable string `json:"varied"` // what X counts
-	// Note says what was held and how a point was taken: how often, and which of its runs counts.
+	Variable string `json:"varied"` // the varied quantity, X
+	// Note tells what was fixed and how a point was measured, or why the slope was not measured.
 	Note string    `json:"note,omitempty"`
 	X    []float64 `json:"x"`
 	Y    []float64 `json:"y"`
 	Fit  Fit       `json:"fit"`
 }
 
-// NewSlope is a slope with its fit.
+// NewSlope returns a slope with a curve fitted to its points.
 func NewSlope(name, unit, variable string, x, y []float64) Slope {
 	return Slope{Name: name, Unit: unit, Variable: variable, X: x, Y: y, Fit: FitPoints(x, y)}
 }
 
-// least is s with the lesser figure of two runs at each point. A run that was not measured leaves the slope unmeasured.
+// lowest returns s with the lower value of two runs at each point. If either run was not measured, the result has no
+// points and the note of that run.
 func (s Slope) lowest(other Slope) Slope {
 	if len(s.Y) == 0 || len(other.Y) != len(s.Y) {
 		other.Y, other.X, other.Fit = nil, nil, Fit{}
--- a/internal/scale/soak.go
+++ b/internal/scale/soak.go
@@ -16,51 +16,53 @@
 	"time"
 )
 
-// This file is a soak of restarts: real processes of the balancer with clients, upstreams and discovery on loopback, and by
-// seed a series of signals, changes and a restart among them. Clients use every open connection until SIGKILL.
+// This file runs the soak test of restarts: real balancer processes serve clients over loopback, with upstreams and
+// discovery in the test's own process. A seed determines a series of signals and changes, which ends with a restart or a
+// shutdown. Clients use every open connection until SIGKILL.
 
 const (
 	soakUpstreams       = 6
-	soakClientCount     = 24  // clients with a connection each
-	soakIdleClients     = 500 // idle connections of a crowd: more than a balancer of 1,024 descriptors takes
+	soakClientCount     = 24  // clients, each with one connection
+	soakIdleClients     = 500 // idle connections of a crowd, more than a balancer with 1,024 file descriptors accepts
 	soakReadyTimeout    = 10 * time.Second
-	soakMaxEvents       = 4 // before the restart, at most
+	soakMaxEvents       = 4 // most random events before the restart
 	soakMaxEventTime    = 600 * time.Millisecond
-	soakKillDelay       = 3700 * time.Millisecond // SIGTERM: 3 s, since the deadline is shorter, and 0.7 s
-	soakSettleTime      = 300 * time.Millisecond  // until clients and upstreams have seen all
-	soakMoveOverlap     = 1500 * time.Millisecond // from SIGHUP until the old discovery closes
+	soakKillDelay       = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, since deadlines are shorter, plus 0.7 s
+	soakSettleTime      = 300 * time.Millisecond  // after the last process has ended, for clients and upstreams to record it
+	soakMoveOverlap     = 1500 * time.Millisecond // from SIGHUP until the previous discovery server stops
 	soakClockInterval   = 5 * time.Millisecond
 	soakOperatorTimeout = time.Second
 )
 
-// SoakResult is what a seed showed.
+// SoakResult is the result of one seed.
 type SoakResult struct {
 	Seed     uint64
-	Events   []string // what was done, in order
+	Events   []string // log of the run, in order
 	Requests int
 	Restarts int
-	MaxDelay time.Duration // by how much the soak itself was held up at worst
+	MaxDelay time.Duration // longest scheduling delay of the soak test's own process
 	Faults   []SoakFault
 }
 
-// SoakFault is a rule that was broken.
+// SoakFault is a violation of a rule.
 type SoakFault struct {
 	Rule      string
-	RequestID string // of the request; empty: of the process
+	RequestID string // empty if the fault is not about a request
 	Details   string
 }
 
-// soakProcess is one process of the balancer.
+// soakBalancer is one balancer process.
 type soakBalancer struct {
 	child           *child
 	operatorAddress string
 	terminatedAt    time.Time
 }
 
-// closingTime is a time in which a balancer closes connections that it has not read; zero: it does not end.
+// soakCloseWindow is a period in which a balancer may close connections without reading their requests. If to is zero,
+// the period does not end.
 type soakCloseWindow struct{ from, to time.Time }
 
-// soak is a seed's play.
+// soak is the state of the run of one seed.
 type soak struct {
 	SoakResult
 	rng              *rand.Rand
@@ -68,24 +70,24 @@
 	dir              string
 	program          string
 	processes        *children
-	listener         *os.File // that processes inherit; nil: each listens itself
+	listener         *os.File // inherited by the balancers; nil if each opens its own
 	listen           string
 	list             *list
 	discoveryCounts  counters
 	machines         []*machine
-	machine          int // that the configuration names
+	machine          int // index of the one in the configuration
 	settingsVersion  int
 	upstreams        []*soakUpstream
 	arrivals         *soakArrivalLog
 	clients          *soakClients
 	idleCrowd        bool
-	drainAnnouncedAt map[int]time.Time // upstreams that drain, and since when discovery has had it
-	discoveryOutage  bool              // discovery was away
+	drainAnnouncedAt map[int]time.Time // when discovery got the drain of an upstream, by index
+	discoveryOutage  bool              // discovery was unavailable or moved at some time
 	closeWindows     []soakCloseWindow
 	balancers        []*soakBalancer
 }
 
-// Soak plays one seed against a program of the balancer, with files in dir.
+// RunSoak runs one seed against the balancer's program at the given path, with files in dir.
 func RunSoak(program string, seed uint64, dir string) (SoakResult, error) {
 	s := &soak{SoakResult: SoakResult{Seed: seed}, rng: rand.New(rand.NewPCG(seed, 0)), startTime: time.Now(), dir: dir, program: program,
 		processes: &children{dir: dir}, arrivals: &soakArrivalLog{byRequest: map[string][]*soakArrival{}}, drainAnnouncedAt: map[int]time.Time{}}
@@ -100,14 +102,18 @@
 	return s.SoakResult, err
 }
 
+// logEvent adds a line to the log of the run, with the time since its start.
 func (s *soak) logEvent(format string, args ...any) {
 	s.Events = append(s.Events, fmt.Sprintf("%.3f s: ", time.Since(s.startTime).Seconds())+fmt.Sprintf(format, args...))
 }
 
+// fault records a violation of a rule.
 func (s *soak) fault(rule, id, format string, args ...any) {
 	s.Faults = append(s.Faults, SoakFault{rule, id, fmt.Sprintf(format, args...)})
 }
 
+// run starts a balancer and its clients, plays random events, restarts the balancer if its successor can inherit the
+// listener, ends it, and checks the rules.
 func (s *soak) run() error {
 	if err := s.prepare(); err != nil {
 		return err
@@ -124,7 +130,7 @@
 		clients.Go(func() { s.clients.sendRequests(ctx, rand.New(rand.NewPCG(s.Seed, uint64(i)+1))) })
 	}
 	if s.idleCrowd {
-		s.logEvent("a crowd of %d idle clients", soakIdleClients)
+		s.logEvent("%d idle clients connect", soakIdleClients)
 		for range soakIdleClients {
 			clients.Go(func() { s.clients.holdIdleConns(ctx) })
 		}
@@ -140,9 +146,9 @@
 		if last, err = s.start(); err != nil {
 			return err
 		}
-		s.logEvent("another process is ready")
+		s.logEvent("second process is ready")
 		s.terminate(first)
-		stop() // nobody takes connections from a socket that the platform holds once the last process is told to end
+		stop() // once the last process drains, no process accepts connections from the inherited socket
 		clients.Wait()
 	}
 	s.terminate(last)
@@ -153,7 +159,7 @@
 	return nil
 }
 
-// prepare makes the upstreams, discovery with two machines, and the first configuration.
+// prepare starts the upstreams and two discovery servers and writes the first configuration.
 func (s *soak) prepare() error {
 	s.idleCrowd = s.rng.IntN(5) == 0
 	var addresses []string
@@ -175,12 +181,12 @@
 	if s.rng.IntN(2) == 0 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return fmt.Errorf("the clients' socket: %w", err)
+			return fmt.Errorf("open client listener: %w", err)
 		}
 		defer l.Close()
 		s.listen = l.Addr().String()
 		if s.listener, err = l.(*net.TCPListener).File(); err != nil {
-			return fmt.Errorf("the clients' socket: %w", err)
+			return fmt.Errorf("open client listener: %w", err)
 		}
 	} else {
 		var err error
@@ -192,9 +198,10 @@
 	return s.writeConfig()
 }
 
+// configPath returns the path of the balancers' configuration file.
 func (s *soak) configPath() string { return filepath.Join(s.dir, "config.json") }
 
-// configure puts the configuration as it stands in place.
+// writeConfig writes the current configuration to the configuration file.
 func (s *soak) writeConfig() error {
 	template, err := newSettings(Shape{Balancers: 1, Classes: len(soakRequestClasses) + 1, AskWithin: 10 * time.Second}, s.settingsVersion, s.list.listing())
 	if err != nil {
@@ -205,7 +212,7 @@
 	return err
 }
 
-// start starts a process and waits until it is ready.
+// start starts a balancer process and waits until it is ready. It records a fault if that takes too long.
 func (s *soak) start() (*soakBalancer, error) {
 	operatorAddress, err := freeAddress()
 	if err != nil {
@@ -213,7 +220,7 @@
 	}
 	tmp := filepath.Join(s.dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
-		return nil, fmt.Errorf("starting a balancer: %w", err)
+		return nil, fmt.Errorf("start balancer: %w", err)
 	}
 	cmd := exec.Command(s.program)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+s.configPath(), "TMPDIR="+tmp, "RELAY_OPERATOR="+operatorAddress)
@@ -227,14 +234,14 @@
 	}
 	p := &soakBalancer{child: c, operatorAddress: operatorAddress}
 	s.balancers = append(s.balancers, p)
-	s.logEvent("process %d starts", cmd.Process.Pid)
+	s.logEvent("process %d started", cmd.Process.Pid)
 	for waitStart := time.Now(); ; time.Sleep(soakPause) {
 		if p.callOperator(http.MethodGet, "/control/ready") {
 			return p, nil
 		}
 		select {
 		case <-c.ended:
-			return nil, fmt.Errorf("the balancer has ended before it was ready: %w", c.err)
+			return nil, fmt.Errorf("balancer ended before it was ready: %w", c.err)
 		default:
 		}
 		if time.Since(waitStart) > soakReadyTimeout {
@@ -244,7 +251,7 @@
 	}
 }
 
-// call makes an operators' call and tells whether the answer is yes.
+// callOperator sends a request to the operator's listener and reports whether the response has status 200.
 func (p *soakBalancer) callOperator(method, path string) bool {
 	r, err := http.NewRequest(method, "http://"+p.operatorAddress+path, nil)
 	if err != nil {
@@ -258,7 +265,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// lateness measures until ctx ends by how much this process is held up at worst.
+// maxSchedulingDelay returns the longest delay of a wake-up in this process until ctx ends.
 func maxSchedulingDelay(ctx context.Context) (worst time.Duration) {
 	for ctx.Err() == nil {
 		start := time.Now()
@@ -268,25 +275,26 @@
 	return worst
 }
 
+// signal sends a signal to a balancer process.
 func (s *soak) signal(p *soakBalancer, sig syscall.Signal) {
-	s.logEvent("%v to %d", sig, p.child.cmd.Process.Pid)
-	p.child.cmd.Process.Signal(sig) // one that has ended takes none
+	s.logEvent("%v sent to process %d", sig, p.child.cmd.Process.Pid)
+	p.child.cmd.Process.Signal(sig) // the error is ignored: the process may have ended
 }
 
-// event is one trouble before the restart.
+// randomEvent plays one event that the seed determines.
 func (s *soak) randomEvent(p *soakBalancer) error {
 	switch s.rng.IntN(6) {
 	case 0:
 		s.settingsVersion++
-		s.logEvent("settings, version %d", s.settingsVersion)
+		s.logEvent("settings change to version %d", s.settingsVersion)
 		if err := s.writeConfig(); err != nil {
 			return err
 		}
 		s.signal(p, syscall.SIGHUP)
 	case 1:
-		s.logEvent("a broken file")
+		s.logEvent("configuration file becomes invalid")
 		if err := os.WriteFile(s.configPath(), []byte("{"), 0o600); err != nil {
-			return fmt.Errorf("writing a broken file: %w", err)
+			return fmt.Errorf("write invalid configuration: %w", err)
 		}
 		s.signal(p, syscall.SIGHUP)
 		time.Sleep(soakPause)
@@ -296,7 +304,7 @@
 	case 3:
 		s.drainUpstream()
 	case 4:
-		s.logEvent("discovery is away for a moment")
+		s.logEvent("discovery is unavailable for a short time")
 		s.discoveryOutage = true
 		m := s.machines[s.machine]
 		if err := m.set(ModeDown); err != nil {
@@ -305,7 +313,7 @@
 		time.Sleep(time.Duration(s.rng.Int64N(int64(soakMaxEventTime))))
 		return m.set(ModeUp)
 	case 5:
-		s.logEvent("out of service for a moment")
+		s.logEvent("balancer is out of service for a short time")
 		from := time.Now()
 		p.callOperator(http.MethodPut, "/control/out-of-service")
 		time.Sleep(time.Duration(s.rng.Int64N(int64(soakMaxEventTime))))
@@ -315,9 +323,10 @@
 	return nil
 }
 
-// moveDiscovery has the configuration name the other machine. The one before closes some time after the signal.
+// moveDiscovery changes the configuration to the other discovery server. The previous one stops soakMoveOverlap after the
+// balancer has been signalled.
 func (s *soak) moveDiscovery(p *soakBalancer) error {
-	s.logEvent("discovery moves")
+	s.logEvent("discovery moves to the other server")
 	s.discoveryOutage = true
 	before := s.machines[s.machine]
 	s.machine = 1 - s.machine
@@ -333,13 +342,14 @@
 	return before.set(ModeDown)
 }
 
-// drain has an upstream drain until the end, once it has been announced. Half of them always serve.
+// drainUpstream announces the drain of an upstream, which lasts until the end of the run. Only half of the upstreams are
+// candidates, so the others always serve.
 func (s *soak) drainUpstream() {
 	i := s.rng.IntN(soakUpstreams / 2)
 	if _, announced := s.drainAnnouncedAt[i]; announced {
 		return
 	}
-	s.logEvent("upstream %d drains", i)
+	s.logEvent("upstream %d starts to drain", i)
 	s.list.change(func() []Member {
 		for _, m := range s.list.members {
 			if m.HostPort == s.upstreams[i].address {
@@ -353,7 +363,8 @@
 	s.upstreams[i].draining.Store(true)
 }
 
-// end ends a process as the platform does: SIGTERM, at times with more in the same moment, and SIGKILL when that is due.
+// terminate ends a process with SIGTERM, in some cases followed by another signal or an operator's call, and with SIGKILL
+// after soakKillDelay.
 func (s *soak) terminate(p *soakBalancer) {
 	s.Restarts++
 	p.terminatedAt = time.Now()
@@ -368,11 +379,11 @@
 		time.Sleep(wait)
 		s.signal(p, syscall.SIGHUP)
 	case 2:
-		s.logEvent("out of service in that moment: %v", p.callOperator(http.MethodPut, "/control/out-of-service"))
+		s.logEvent("out-of-service call during shutdown succeeded: %v", p.callOperator(http.MethodPut, "/control/out-of-service"))
 	}
 	select {
 	case <-p.child.ended:
-		s.logEvent("process %d has ended: %v", p.child.cmd.Process.Pid, p.child.err)
+		s.logEvent("process %d ended: %v", p.child.cmd.Process.Pid, p.child.err)
 		if p.child.err != nil {
 			s.fault("crash", "", "process %d: %v", p.child.cmd.Process.Pid, p.child.err)
 		}
@@ -382,9 +393,10 @@
 	}
 }
 
-var errSoak = errors.New("the soak has found faults")
+var errSoak = errors.New("soak test found faults")
 
-// Err is an error where faults were found, with the command that plays the seed again and the requests' ids.
+// Err returns nil if there are no faults. Otherwise the error lists them with the command that runs the seed again, the
+// request IDs and the log of the run.
 func (r SoakResult) Err() error {
 	if len(r.Faults) == 0 {
 		return nil
@@ -399,12 +411,12 @@
 	return fmt.Errorf("%w: %s", errSoak, text)
 }
 
-// Soaks plays seeds, some beside each other, and prints a line for each and the faults of those that fail. The program is
-// built where it is empty.
+// RunSoaks runs the given number of seeds from first on, up to parallel of them at a time. It writes a line for each seed
+// and the faults of those that fail to out, and returns an error if any fails. If program is empty, it is built.
 func RunSoaks(program string, first uint64, seeds, parallel int, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return fmt.Errorf("a soak's folder: %w", err)
+		return fmt.Errorf("create directory of the soak test: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	if program == "" {
@@ -427,7 +439,7 @@
 			fmt.Fprintf(out, "seed %d: %d requests, %d restarts\n", seed, result.Requests, result.Restarts)
 			if result.MaxDelay > soakDelayTolerance {
 				delayed++
-				fmt.Fprintf(out, "seed %d was held up for %v: rules of time not judged\n", seed, result.MaxDelay)
+				fmt.Fprintf(out, "seed %d had scheduling delays of up to %v: timing rules not checked\n", seed, result.MaxDelay)
 			}
 			if err != nil {
 				failed++
@@ -436,7 +448,7 @@
 		})
 	}
 	running.Wait()
-	fmt.Fprintf(out, "%d seeds from %d on, %d failed, %d held up; %d requests, %d restarts\n", seeds, first, failed, delayed, requests,
+	fmt.Fprintf(out, "%d seeds from %d on: %d failed, %d delayed; %d requests, %d restarts\n", seeds, first, failed, delayed, requests,
 		restarts)
 	if failed > 0 {
 		return errSoak
@@ -444,11 +456,11 @@
 	return nil
 }
 
-// soakIn plays a seed in a folder of its own.
+// runSoakInDir runs a seed in its own subdirectory of dir.
 func runSoakInDir(program string, seed uint64, dir string) (SoakResult, error) {
 	seedDir := filepath.Join(dir, fmt.Sprint(seed))
 	if err := os.Mkdir(seedDir, 0o700); err != nil {
-		return SoakResult{}, fmt.Errorf("a seed's folder: %w", err)
+		return SoakResult{}, fmt.Errorf("create directory of a seed: %w", err)
 	}
 	result, err := RunSoak(program, seed, seedDir)
 	if err == nil {
--- a/internal/scale/soak_check.go
+++ b/internal/scale/soak_check.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// This file holds what the clients and the upstreams of a soak saw against the protocol's rules, request by request.
+// This file checks the records of the soak test's clients and upstreams against the protocol's rules, for each request.
 
 const (
-	soakMaxLateness             = 500 * time.Millisecond // over its deadline an answer is lost
-	soakMaxStartAfterAbort      = 100 * time.Millisecond // something may begin so long after its client has gone
-	soakDelayTolerance          = 50 * time.Millisecond  // until an upstream of the soak has noted a request
-	soakDrainGrace              = 500 * time.Millisecond // the settings' for drains
-	soakMaxListDelay            = time.Second            // until discovery has told a change, where it was not away
-	soakMaxListDelayAfterOutage = 6 * time.Second        // and until a change counts as told, where it was
+	soakMaxLateness             = 500 * time.Millisecond // of a response after the deadline
+	soakMaxStartAfterAbort      = 100 * time.Millisecond // from a client's abort until an upstream gets the request
+	soakDelayTolerance          = 50 * time.Millisecond  // in recording a request, and of scheduling where timing rules are checked
+	soakDrainGrace              = 500 * time.Millisecond // grace period of drains in the settings
+	soakMaxListDelay            = time.Second            // until the balancer has a change of the list
+	soakMaxListDelayAfterOutage = 6 * time.Second        // the same if discovery had an outage or moved
 )
 
+// check checks all requests.
 func (s *soak) check() {
 	s.clients.mu.Lock()
 	defer s.clients.mu.Unlock()
@@ -27,6 +28,7 @@
 	}
 }
 
+// checkRequest checks a request against its arrivals at upstreams.
 func (s *soak) checkRequest(r *soakRequest, arrivals []*soakArrival) {
 	executed := 0
 	for _, arrival := range arrivals {
@@ -34,32 +36,32 @@
 			executed++
 		}
 		if !r.abortedAt.IsZero() && s.onSchedule() && arrival.arrivedAt.Sub(r.abortedAt) > soakMaxStartAfterAbort+soakDelayTolerance {
-			s.fault("begun for nobody", r.id, "at upstream %d, %v after its client had gone", arrival.upstream, arrival.arrivedAt.Sub(r.abortedAt))
+			s.fault("begun for nobody", r.id, "arrived at upstream %d, %v after its client had closed the connection", arrival.upstream, arrival.arrivedAt.Sub(r.abortedAt))
 		}
 		s.checkDrain(r, arrival)
 	}
 	if r.class.nonIdempotent && executed > 1 {
-		s.fault("duplicate", r.id, "an unsafe request ran %d times", executed)
+		s.fault("duplicate", r.id, "non-idempotent request executed %d times", executed)
 	}
 	refused := r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests
 	if r.class.nonIdempotent && refused && executed > 0 {
-		s.fault("refusal", r.id, "%d for an unsafe request that ran", r.status)
+		s.fault("refusal", r.id, "status %d for a non-idempotent request that was executed", r.status)
 	}
 	if r.status == http.StatusOK && r.body != soakResponseBody(r.id) {
-		s.fault("answer", r.id, "200 with %q", r.body)
+		s.fault("answer", r.id, "status 200 with body %q", r.body)
 	}
 	if r.sentAt.IsZero() || !r.abortedAt.IsZero() || r.pipelined {
 		return
 	}
 	if elapsed := r.endedAt.Sub(r.sentAt); s.onSchedule() && r.status != 0 && elapsed > soakRequestDeadline+soakMaxLateness {
-		s.fault("late", r.id, "%d after %v", r.status, elapsed)
+		s.fault("late", r.id, "status %d after %v", r.status, elapsed)
 	}
 	if r.status == 0 && s.wasAccepted(r, arrivals) {
-		s.fault("lost", r.id, "no answer, the connection ended after %v", r.endedAt.Sub(r.sentAt))
+		s.fault("lost", r.id, "no response, connection closed after %v", r.endedAt.Sub(r.sentAt))
 	}
 }
 
-// checkDrain holds an arrival against the announcement of its upstream's drain.
+// checkDrain checks that an arrival is not too long after the announcement of its upstream's drain.
 func (s *soak) checkDrain(r *soakRequest, arrival *soakArrival) {
 	announcedAt, announced := s.drainAnnouncedAt[arrival.upstream]
 	if !announced || !s.onSchedule() {
@@ -74,13 +76,14 @@
 	}
 }
 
-// inTime tells whether the soak itself was in time. Where it was not the machine had no core for it, nor for the balancer,
-// and rules that go by time are not judged.
+// onSchedule reports whether timing rules can be checked. If the soak test's own process had longer scheduling delays,
+// the machine was overloaded and the balancer was probably delayed too.
 func (s *soak) onSchedule() bool { return s.MaxDelay <= soakDelayTolerance }
 
-// taken tells whether a request that got no answer was surely taken by a balancer: it reached an upstream, or came on a new
-// connection while none was being closed unread. That happens in a drain, behind SIGTERM and amid a crowd, and on a kept
-// connection at any time: a request that crosses it may be unread, and is the client's to send again.
+// wasAccepted reports whether a request without a response was certainly accepted by a balancer: it reached an upstream,
+// or it came on a new connection while the balancer did not close connections without reading them. A balancer may do so
+// while it is out of service, after SIGTERM and with a crowd of idle clients. It may close a reused connection at any
+// time; a request that is sent meanwhile stays unread, and the client may send it again.
 func (s *soak) wasAccepted(r *soakRequest, arrivals []*soakArrival) bool {
 	if len(arrivals) > 0 {
 		return true
--- a/internal/scale/soak_client.go
+++ b/internal/scale/soak_client.go
@@ -12,18 +12,19 @@
 	"time"
 )
 
-// This file has the clients of a soak. Each uses its connection for one request after another, as long as that is open.
+// This file implements the clients of the soak test. Each sends one request after another on its connection for as long as
+// the connection is open.
 
 const (
-	soakRequestDeadline    = 750 * time.Millisecond // of all classes
-	soakClientTimeout      = 5 * time.Second        // until a client takes an answer for one that never comes
-	soakPause              = 10 * time.Millisecond  // between two requests, on average
-	soakChunkSize          = 16 << 10               // bytes of an upload that are written at once
-	soakMaxAbortDelay      = 150 * time.Millisecond // until a client leaves
-	soakAbortedUploadBytes = 80 << 10               // of an upload whose client leaves: they fit the balancer's receive buffer
+	soakRequestDeadline    = 750 * time.Millisecond // deadline of all requests
+	soakClientTimeout      = 5 * time.Second        // time after which a client stops waiting for a response
+	soakPause              = 10 * time.Millisecond  // mean time between requests, also used between polls and reconnects
+	soakChunkSize          = 16 << 10               // bytes per write of an upload
+	soakMaxAbortDelay      = 150 * time.Millisecond // longest time until a client aborts its request
+	soakAbortedUploadBytes = 80 << 10               // size of an upload that is aborted; fits the balancer's receive buffer
 )
 
-// soakKind is a class of requests.
+// soakRequestClass is a class of requests.
 type soakRequestClass struct {
 	name          string
 	method        string
@@ -37,21 +38,21 @@
 	{name: "c2", method: http.MethodPost, nonIdempotent: true},
 }
 
-// soakRequest is a request as its client saw it.
+// soakRequest is a client's record of a request.
 type soakRequest struct {
 	id          string
 	class       soakRequestClass
 	connectedAt time.Time
-	firstOnConn bool      // on its connection
-	sentAt      time.Time // of its last byte; zero: it was not written whole
-	abortedAt   time.Time // its client closed the connection; zero: it stayed
-	pipelined   bool      // another one came right behind it
-	status      int       // 0: no answer
+	firstOnConn bool      // first request on its connection
+	sentAt      time.Time // when the last byte was written; zero if it was not
+	abortedAt   time.Time // when the client closed the connection early; zero if it did not
+	pipelined   bool      // another request was written before the response
+	status      int       // 0 if there was no response
 	body        string
-	endedAt     time.Time // by its answer, or the connection's end
+	endedAt     time.Time // when the response was complete or the connection ended
 }
 
-// soakClients write down all requests.
+// soakClients records the requests of all clients.
 type soakClients struct {
 	address     string
 	seed        uint64
@@ -60,6 +61,7 @@
 	requests    []*soakRequest
 }
 
+// newRequest records a new request with a random class.
 func (s *soakClients) newRequest(rng *rand.Rand) *soakRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +71,7 @@
 	return r
 }
 
-// use connects again and again until ctx ends, and sends requests on each connection while it is open.
+// sendRequests sends requests on one connection after another until ctx ends, on each for as long as it is open.
 func (s *soakClients) sendRequests(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", s.address, soakRequestDeadline)
@@ -90,7 +92,7 @@
 	}
 }
 
-// idle holds a connection without a request, and opens it again when it is closed.
+// holdIdleConns keeps a connection open without sending requests and reconnects when it is closed, until ctx ends.
 func (s *soakClients) holdIdleConns(ctx context.Context) {
 	for ctx.Err() == nil {
 		c, err := net.DialTimeout("tcp", s.address, soakRequestDeadline)
@@ -105,7 +107,8 @@
 	}
 }
 
-// play sends a request in one of the ways that clients have. It tells whether the connection serves on.
+// exchange sends a request and reads the response. At random it uploads a large body in chunks, aborts the request, or
+// pipelines a second one. It reports whether the connection can be used again.
 func (r *soakRequest) exchange(c net.Conn, reader *bufio.Reader, rng *rand.Rand) bool {
 	size := 0
 	if r.class.method == http.MethodPost {
@@ -141,7 +144,7 @@
 	return r.read(c, reader) && !r.pipelined
 }
 
-// write writes the request, an upload in pieces.
+// write writes the request, with pauses between the chunks of its body if inChunks is set.
 func (r *soakRequest) write(c net.Conn, size int, inChunks bool) error {
 	c.SetDeadline(time.Now().Add(soakClientTimeout))
 	header := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n", r.class.method,
@@ -168,7 +171,7 @@
 	return nil
 }
 
-// read reads the answer. It tells whether the connection serves on.
+// read reads the response and reports whether the connection can be used again.
 func (r *soakRequest) read(c net.Conn, reader *bufio.Reader) bool {
 	c.SetDeadline(time.Now().Add(soakClientTimeout))
 	resp, err := http.ReadResponse(reader, nil)
--- a/internal/scale/soak_test.go
+++ b/internal/scale/soak_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A short soak of restarts. Seeds of their own are played by hand, see README.
+// TestSoakOfRestarts runs a fixed set of seeds of the soak test. Other seeds are run with cmd/scale, see README.
 func TestSoakOfRestarts(t *testing.T) {
 	program, err := BuildBalancer(t.TempDir())
 	if err != nil {
@@ -21,7 +21,7 @@
 			if err := result.Err(); err != nil {
 				t.Error(err)
 			}
-			t.Logf("%d requests, %d restarts, held up for %v", result.Requests, result.Restarts, result.MaxDelay)
+			t.Logf("%d requests, %d restarts, scheduling delays of up to %v", result.Requests, result.Restarts, result.MaxDelay)
 		})
 	}
 }
--- a/internal/scale/soak_upstream.go
+++ b/internal/scale/soak_upstream.go
@@ -11,30 +11,31 @@
 	"time"
 )
 
-// This file has the upstreams of a soak: one listening socket each, so that a request shows where it was sent. What an
-// upstream does with a request follows from the request's id.
+// This file implements the upstreams of the soak test. Each has its own listener, so that arrivals are attributed to it.
+// The behavior of an upstream for a request is determined by the request ID.
 
 const (
-	soakUpstreamTime  = 5 * time.Millisecond // of an upstream for a request
-	soakBehaviorCount = 100                  // ids are spread over so many
-	soakHangBelow     = 4                    // of these an upstream never answers
-	soakResetBelow    = 7                    // up to this one it resets the connection, once the request is whole
-	soakErrorBelow    = 9                    // up to this one it answers by 500
+	soakUpstreamTime  = 5 * time.Millisecond // response time of an upstream
+	soakBehaviorCount = 100                  // behaviors are numbers below this
+	soakHangBelow     = 4                    // below this, an upstream does not respond
+	soakResetBelow    = 7                    // below this, it resets the connection after it has read the request
+	soakErrorBelow    = 9                    // below this, it responds with status 500
 )
 
-// soakRun is one arrival of a request at an upstream.
+// soakArrival records the arrival of a request at an upstream.
 type soakArrival struct {
 	upstream  int
 	arrivedAt time.Time
-	executed  bool // it came whole and was not turned away
+	executed  bool // it was read completely and not refused
 }
 
-// soakLedger is what all upstreams had of each request.
+// soakArrivalLog records the arrivals of requests at all upstreams.
 type soakArrivalLog struct {
 	mu        sync.Mutex
-	byRequest map[string][]*soakArrival // by the request's id
+	byRequest map[string][]*soakArrival // by request ID
 }
 
+// record adds an arrival of a request at an upstream.
 func (l *soakArrivalLog) record(id string, upstream int) *soakArrival {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,13 +44,14 @@
 	return arrival
 }
 
+// executed marks an arrival as executed.
 func (l *soakArrivalLog) executed(arrival *soakArrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	arrival.executed = true
 }
 
-// soakUpstream is an upstream. It turns requests away while it drains.
+// soakUpstream is an upstream server. It refuses requests while it drains.
 type soakUpstream struct {
 	index    int
 	arrivals *soakArrivalLog
@@ -58,10 +60,11 @@
 	draining atomic.Bool
 }
 
+// newSoakUpstream starts an upstream on a free port of the loopback interface.
 func newSoakUpstream(index int, arrivals *soakArrivalLog) (*soakUpstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("an upstream's socket: %w", err)
+		return nil, fmt.Errorf("open upstream listener: %w", err)
 	}
 	u := &soakUpstream{index: index, arrivals: arrivals, address: l.Addr().String()}
 	u.server = &http.Server{Handler: u}
@@ -69,13 +72,14 @@
 	return u, nil
 }
 
-// behaviour is a fixed number of an id, below soakBehaviours.
+// soakBehavior returns a number below soakBehaviorCount that is a hash of the request ID.
 func soakBehavior(id string) int {
 	h := fnv.New32a()
-	io.WriteString(h, id) // never fails
+	io.WriteString(h, id) // a hash's Write never fails
 	return int(h.Sum32() % soakBehaviorCount)
 }
 
+// ServeHTTP records the arrival of a request and responds as its ID determines.
 func (u *soakUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	arrival := u.arrivals.record(id, u.index)
@@ -102,10 +106,10 @@
 	}
 }
 
-// soakAnswer is the body of the answer to a request.
+// soakResponseBody returns the body of the response to a request.
 func soakResponseBody(id string) string { return "answer to " + id }
 
-// reset resets the connection that a request came on.
+// resetConn resets the connection of a request.
 func resetConn(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -10,18 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file reads what processes use: processor time by getrusage for the own one, by procfs for others, and memory.
+// This file reads the processor time and the memory of processes: of the calling process with getrusage, of others with
+// procfs.
 
-// Usage is what a process has used.
+// Usage is the resource use of a process at one moment.
 type Usage struct {
-	At   int64         `json:"at_ns"`  // Unix time of the reading
-	CPU  time.Duration `json:"cpu_ns"` // processor time since its start, user and system
+	At   int64         `json:"at_ns"`  // Unix time of the reading, ns
+	CPU  time.Duration `json:"cpu_ns"` // user and system time since its start
 	RSS  int64         `json:"rss_bytes"`
-	Heap int64         `json:"heap_bytes"` // live after a collection; 0: not read
+	Heap int64         `json:"heap_bytes"` // live heap after a garbage collection; 0 if not read
 }
 
-// ownUsage reads this process. With heap it collects first, which costs processor time that the reading leaves out: the
-// collection comes after it.
+// ownUsage returns the use of the calling process. If withHeap is set, it collects garbage to read the live heap, after
+// it has read the processor time, which does not include the collection.
 func ownUsage(withHeap bool) (Usage, error) {
 	u, err := processUsage(syscall.Getpid())
 	if err != nil {
@@ -41,33 +42,33 @@
 	return u, nil
 }
 
-// processUsage reads a process by its id. Its processor time is counted in steps of 10 ms.
+// processUsage returns the use of a process by its PID. The processor time has a resolution of 10 ms.
 func processUsage(pid int) (Usage, error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
-		return Usage{}, fmt.Errorf("reading process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("read usage of process %d: %w", pid, err)
 	}
 	s, err := p.Stat()
 	if err != nil {
-		return Usage{}, fmt.Errorf("reading process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("read usage of process %d: %w", pid, err)
 	}
 	return Usage{At: time.Now().UnixNano(), CPU: time.Duration(s.CPUTime() * float64(time.Second)), RSS: int64(s.ResidentMemory())}, nil
 }
 
-// coresBusy is how long the processors that this process may use have been busy, with whatever, since the machine's start. It
-// is counted in steps of 10 ms.
+// processorBusyTime returns the total time for which the processors that this process may run on have been busy with any
+// work since the system was started. It has a resolution of 10 ms.
 func processorBusyTime() (time.Duration, error) {
 	var allowed unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
-		return 0, fmt.Errorf("reading the processors: %w", err)
+		return 0, fmt.Errorf("read processor times: %w", err)
 	}
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
-		return 0, fmt.Errorf("reading the processors: %w", err)
+		return 0, fmt.Errorf("read processor times: %w", err)
 	}
 	s, err := fs.Stat()
 	if err != nil {
-		return 0, fmt.Errorf("reading the processors: %w", err)
+		return 0, fmt.Errorf("read processor times: %w", err)
 	}
 	sum := 0.0
 	for n, c := range s.CPU {
--- a/internal/scale/vary.go
+++ b/internal/scale/vary.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// This file takes the slopes over a running fleet: one figure is varied, all others are held. At each point a new fleet starts;
-// it is measured at rest, while the list changes at a fixed rate, and where it matters while the settings change. Hollow
-// balancers alone are run, so that no traffic is in the figures.
+// This file measures the slopes over a running fleet: one quantity is varied while all others are fixed. Each point starts
+// a new fleet and measures it at rest, while the list changes at a fixed rate and, for some slopes, while the settings
+// change. All balancers are hollow, so that the figures do not include traffic.
 
 const (
 	reloadsPerPoint = 3
-	// reloadWait is how long a reload's work is measured where nothing tells that it is in force.
-	reloadMeasureTime = 4 * time.Second
-	// busyMost is the share of the processors over which a point is marked: what waits for a processor is in its times.
+	// pointReloadTimeout is the timeout of each reload that is measured.
+	pointReloadTimeout = 4 * time.Second
+	// maxBusyShare is the share of the processors' time above which a point is marked as saturated, since its latencies
+	// then include waiting for a processor.
 	maxBusyShare = 0.8
 )
 
-// variation is a figure to vary.
+// variation describes a slope: the varied quantity, its values and what is measured.
 type variation struct {
-	name           string // as the flag names it
-	variable       string // what X counts
-	x              []float64
+	name           string    // value of the flag --slope
+	variable       string    // the varied quantity, see Slope.Variable
+	x              []float64 // values of the varied quantity, ascending
 	size           func(base Size, x float64) Size
-	changeRate     func(x float64) float64 // a second
-	measureReloads bool                    // settings are changed as well
-	measureBurst   bool                    // at the last point a zone is lost and comes back as well
+	changeRate     func(x float64) float64 // changes of the list per second
+	measureReloads bool                    // also measure changes of the settings
+	measureBurst   bool                    // at the last point, also measure the loss and the return of a zone
 }
 
-// baseSize is what is held where nothing else is said.
+// baseSize is the size of the fleet in slopes, apart from the varied quantity and the options of the run.
 var baseSize = Size{Shape: Shape{Balancers: Balancers, Upstreams: 1000, Zones: 7, Classes: 20, Tenants: 100, AskWithin: 10 * time.Second},
 	Hollow: 40, Machines: 4, Rate: 240}
 
-// releaseRate is the changes a second of a release that replaces all upstreams within an hour: three for each.
+// releaseRate is the number of list changes per second in a release that replaces all upstreams within an hour, with
+// three changes for each upstream.
 const releaseRate = 3 * Upstreams / 3600.0
 
+// constantRate returns a change rate that does not depend on the varied quantity.
 func constantRate(rate float64) func(float64) float64 { return func(float64) float64 { return rate } }
 
-// variations are the slopes, in the order in which they are run.
+// variations lists the slopes in the order in which they are run.
 var variations = []variation{
 	{name: "upstreams", variable: "upstreams", x: []float64{1750, 3500, 7000, Upstreams}, changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Upstreams, s.Hollow = int(x), 16; return s }},
@@ -51,39 +54,40 @@
 		size: func(s Size, _ float64) Size { s.Upstreams, s.Hollow = Upstreams, 8; return s }, changeRate: func(x float64) float64 { return x }, measureBurst: true},
 }
 
-// Point is what was measured at one point of a slope.
+// Point holds the measurements at one point of a slope.
 type Point struct {
 	X             float64 `json:"x"`
 	Size          Size    `json:"size"`
-	StartCPU      float64 `json:"start_cpu_ms"` // processor time of a hollow balancer's start, until the fleet had settled
+	StartCPU      float64 `json:"start_cpu_ms"` // mean processor time of a hollow balancer until the fleet has settled
 	AtRest        Spent   `json:"rest"`
 	ChangeRate    float64 `json:"changes_per_s"`
 	WhileChanging Spent   `json:"busy"` // while the list changed
 	InForce       InForce `json:"in_force"`
-	CPUPerChange  float64 `json:"cpu_us_per_change"` // of a hollow balancer, over what it spends at rest
-	// Reloads are the settings' changes. ReloadCPU is a hollow balancer's processor time for one, over what it spends at rest.
+	CPUPerChange  float64 `json:"cpu_us_per_change"` // of a hollow balancer, in addition to its use at rest
+	// Reloads are the changes of the settings. ReloadCPU is the mean processor time of a hollow balancer for one of them,
+	// in addition to its use at rest.
 	Reloads   []Reload `json:"reloads,omitempty"`
 	ReloadCPU float64  `json:"reload_cpu_ms"`
 	Bursts    []Burst  `json:"bursts,omitempty"`
-	Saturated bool     `json:"loaded"` // the processors were the bound: times are too long
+	Saturated bool     `json:"loaded"` // the processors were near capacity, so that latencies are overstated
 }
 
-// Burst is many upstreams that change at once, in one revision.
+// Burst measures a change of many upstreams in one revision.
 type Burst struct {
 	Name    string  `json:"name"`
-	CPU     float64 `json:"cpu_ms"` // of a hollow balancer, over what it spends at rest
-	In      float64 `json:"in_kb"`  // to one balancer, with heads
+	CPU     float64 `json:"cpu_ms"` // of a hollow balancer, in addition to its use at rest
+	In      float64 `json:"in_kb"`  // received by one balancer, with HTTP headers
 	InForce InForce `json:"in_force"`
 }
 
-// Varied is a slope's points, and the slopes of each figure over them.
+// SlopeResult holds the points of a slope and, for each figure, the curve fitted over them.
 type SlopeResult struct {
 	Name   string  `json:"name"`
 	Points []Point `json:"points"`
 	Slopes []Slope `json:"slopes"`
 }
 
-// point measures one point, each phase for span.
+// measurePoint measures one point, with phases of the given duration.
 func (r *Run) measurePoint(v variation, x float64, phaseDuration time.Duration) (p Point, err error) {
 	p = Point{X: x, Size: v.size(r.base, x), ChangeRate: v.changeRate(x)}
 	p.Size.Real = 0
@@ -102,7 +106,7 @@
 	for _, u := range settled.hollow {
 		p.StartCPU += micros(u.CPU) / 1000 / float64(p.Size.Hollow)
 	}
-	before, err := f.read(false) // without the collection before
+	before, err := f.read(false) // a second reading, so that the garbage collection of the first is left out
 	if err != nil {
 		return p, err
 	}
@@ -146,7 +150,7 @@
 	return p, r.measureReloads(f, &p)
 }
 
-// burst measures what a zone costs that goes or comes back at once.
+// measureBurst measures the loss or the return of a zone, as made by a method of Discovery.
 func (r *Run) measureBurst(f *fleet, p *Point, name, method string) error {
 	if err := f.settle(); err != nil {
 		return err
@@ -176,14 +180,14 @@
 	return r.abortCause()
 }
 
-// reloads changes the settings some times and measures what each costs.
+// measureReloads measures reloadsPerPoint changes of the settings.
 func (r *Run) measureReloads(f *fleet, p *Point) error {
 	for range reloadsPerPoint {
 		before, err := f.read(false)
 		if err != nil {
 			return err
 		}
-		result, err := f.reload(reloadMeasureTime)
+		result, err := f.reload(pointReloadTimeout)
 		if err != nil {
 			return err
 		}
@@ -198,7 +202,7 @@
 	return r.abortCause()
 }
 
-// vary takes all points of a slope.
+// measureSlope measures all points of a slope and fits its curves. If it fails, the result holds the points so far.
 func (r *Run) measureSlope(v variation, phaseDuration time.Duration) (SlopeResult, error) {
 	result := SlopeResult{Name: v.name}
 	for _, at := range v.x {
@@ -208,14 +212,15 @@
 			return result, fmt.Errorf("slope %s at %.4g: %w", v.name, at, err)
 		}
 		result.Points = append(result.Points, p)
-		r.logProgress("  at rest %.0f us/s of a core, %.2f MB live; %.3g changes/s: %.0f us a change, %.0f B/s in, in force p99 %.0f ms, last %.0f, missing %d",
+		r.logProgress("  at rest %.0f us/s of a core, %.2f MB live heap; at %.3g changes/s %.0f us per change, %.0f B/s in, in force p99 %.0f ms, last %.0f, missing %d",
 			p.AtRest.HollowCPU, p.AtRest.HollowHeap, p.ChangeRate, p.CPUPerChange, p.WhileChanging.In, p.InForce.P99, p.InForce.Last, p.InForce.Missing)
 	}
 	result.fit(v)
 	return result, nil
 }
 
-// figures are what is fitted over a slope's points.
+// slopeFigures lists the figures that are fitted over the points of a slope. Those with reloadOnly are left out of
+// slopes that do not measure reloads.
 var slopeFigures = []struct {
 	name, unit string
 	reloadOnly bool
@@ -240,7 +245,7 @@
 	{"a change of the settings", "ms of a core", true, func(p Point) float64 { return p.ReloadCPU }},
 }
 
-// fit finds the form of each figure.
+// fit fits a curve to each figure.
 func (r *SlopeResult) fit(v variation) {
 	for _, figure := range slopeFigures {
 		if figure.reloadOnly && !v.measureReloads {
