--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -17,7 +17,7 @@
 "known":{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
 "settings":` + settingsText + `}`
 
-func load(t *testing.T, text string, env map[string]string) (Config, error) {
+func loadTestConfig(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -31,8 +31,8 @@
 	})
 }
 
-func TestConfig(t *testing.T) {
-	c, err := load(t, configText, map[string]string{"RELAY_NAME": "n4"})
+func TestLoadConfig(t *testing.T) {
+	c, err := loadTestConfig(t, configText, map[string]string{"RELAY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 }
 
 // RELAY_DISCOVERY names the address of the start. After that the file's holds.
-func TestReloadedDiscoveryIsTheFiles(t *testing.T) {
+func TestReloadUsesDiscoveryAddressOfFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
@@ -58,23 +58,23 @@
 	}
 	want(t, "at the start", c.Discovery, "127.0.0.1:1")
 	var log bytes.Buffer
-	r := NewReloader(getenv, c)
-	r.log = slog.New(slog.NewTextHandler(&log, nil))
-	x, err := r.read(nil)
+	reloader := NewReloader(getenv, c)
+	reloader.log = slog.New(slog.NewTextHandler(&log, nil))
+	reloaded, err := reloader.read(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want(t, "name", c.Name, "n4")
 	want(t, "what the log says of a name that still goes before the file's", log.String(), "")
-	want(t, "read again", x.Discovery, "127.0.0.1:8500")
-	want(t, "bytes", x.Hash, c.Hash)
+	want(t, "read again", reloaded.Discovery, "127.0.0.1:8500")
+	want(t, "bytes", reloaded.Hash, c.Hash)
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestInvalidConfigErrors(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v", err)
 	}
-	for _, c := range []struct{ old, new, wants string }{
+	for _, tt := range []struct{ old, new, errText string }{
 		{`{"name"`, `"name"`, "invalid character"},
 		{"127.0.0.1:7070", "", "listen"},
 		{"127.0.0.1:8500", "nowhere", "discovery"},
@@ -87,21 +87,21 @@
 		{`"phase":"up"`, `"phase":"odd"`, "odd"},
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
-		if _, err := load(t, strings.Replace(configText, c.old, c.new, 1), nil); err == nil || !strings.Contains(err.Error(), c.wants) {
-			t.Errorf("%s: got %v, want it to name %s", c.new, err, c.wants)
+		if _, err := loadTestConfig(t, strings.Replace(configText, tt.old, tt.new, 1), nil); err == nil || !strings.Contains(err.Error(), tt.errText) {
+			t.Errorf("%s: got %v, want it to name %s", tt.new, err, tt.errText)
 		}
 	}
 }
 
-func TestNames(t *testing.T) {
-	n := newUpstreamIDs()
-	want(t, "hex", n.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
-	want(t, "the same again", n.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
-	other := n.id("5be2a07c.example")
+func TestUpstreamIDs(t *testing.T) {
+	ids := newUpstreamIDs()
+	want(t, "hex", ids.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
+	want(t, "the same again", ids.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
+	other := ids.id("5be2a07c.example")
 	want(t, "another form", other, hashText("5be2a07c.example"))
 	seen := map[garnettide.UpstreamID]string{}
 	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
-		id := n.id(text)
+		id := ids.id(text)
 		if seen[id] != "" {
 			t.Errorf("%q and %q are mixed up", text, seen[id])
 		}
@@ -110,8 +110,8 @@
 }
 
 // An upstream that started before this process is as cold as it is at other balancers; one of long ago is not.
-func TestStartsAreOnTheLoopsClock(t *testing.T) {
-	c, err := load(t, configText, nil)
+func TestUpstreamStartTimeOnLoopClock(t *testing.T) {
+	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,14 +124,14 @@
 	want(t, "long ago", m.upstream(1).StartedAt, time.Duration(0))
 }
 
-func TestLoadReports(t *testing.T) {
-	whole := garnettide.Load{Fields: garnettide.HasErrorRate | garnettide.HasUtil | garnettide.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
-	for _, c := range []struct {
+func TestParseLoad(t *testing.T) {
+	fullReport := garnettide.Load{Fields: garnettide.HasErrorRate | garnettide.HasUtil | garnettide.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
+	for _, tt := range []struct {
 		name    string
 		reports []string
 		want    garnettide.Load
 	}{
-		{"whole", []string{"err_ps=0.5, load_share=0.61,mean_ms=14.5,other=3"}, whole},
+		{"whole", []string{"err_ps=0.5, load_share=0.61,mean_ms=14.5,other=3"}, fullReport},
 		{"none", nil, garnettide.Load{}},
 		{"empty", []string{""}, garnettide.Load{}},
 		{"half of it", []string{"load_share=0.61,mean_ms=x"}, garnettide.Load{}},
@@ -142,13 +142,13 @@
 		{"negative", []string{"load_share=-0.5"}, garnettide.Load{}},
 		{"more than all cores", []string{"load_share=61"}, garnettide.Load{}},
 	} {
-		want(t, c.name, parseLoad(c.reports), c.want)
+		want(t, tt.name, parseLoad(tt.reports), tt.want)
 	}
 }
 
 // With no connection left to open, an attempt could not connect: the module is told so, once, and nothing is owed.
-func TestNoConnectionLeft(t *testing.T) {
-	c, err := load(t, configText, nil)
+func TestAttemptDroppedAtConnectionLimit(t *testing.T) {
+	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -114,29 +114,29 @@
 // whole and as changes, and requests are served.
 func TestThousandServersAndBalancers(t *testing.T) {
 	const fleet = 1024
-	s := newServer(t, okAll)
-	b := newBalancerWith(t, func(c *Config) {
+	s := newTestUpstream(t, respondOK)
+	b := startBalancerWith(t, func(c *Config) {
 		c.Plan = configOf(t, c.Discovery, nil, `"balancers":1`, fmt.Sprint(`"balancers":`, fleet)).Plan
 		c.MemoryMB, c.Sockets = 32, 256
 	})
 	var list []member
 	for i := range fleet {
-		list = append(list, up(fmt.Sprintf("s-%08x", 0x9e3779b9*uint32(i)), s))
+		list = append(list, upMember(fmt.Sprintf("s-%08x", 0x9e3779b9*uint32(i)), s))
 	}
-	<-b.registry.calls
-	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: list}
+	<-b.discovery.calls
+	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: list}
 	var leaving []member
 	for _, m := range list[:fleet/2] {
-		leaving = append(leaving, draining(m))
+		leaving = append(leaving, drainingMember(m))
 	}
-	<-b.registry.calls
-	b.registry.answers <- discoveryList{Revision: 12, Members: leaving}
-	want(t, "call behind the changes", since(<-b.registry.calls), "since=12")
+	<-b.discovery.calls
+	b.discovery.responses <- discoveryList{Revision: 12, Members: leaving}
+	want(t, "call behind the changes", withoutTimeout(<-b.discovery.calls), "since=12")
 	for range 20 {
-		status, _ := b.do(t, b.ask("checkin", ""))
+		status, _ := b.do(t, b.newRequest("checkin", ""))
 		want(t, "status", status, 200)
 	}
-	b.loopSays(func(l *loop) bool {
+	b.checkOnLoop(func(l *loop) bool {
 		usable := 0
 		for _, p := range l.upstreams {
 			if l.usable(p) {
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, fd := range []string{"x", "-1", "2", "4 "} {
-		if _, err := load(t, configText, map[string]string{"RELAY_INHERITED_FD": fd}); err == nil {
+		if _, err := loadTestConfig(t, configText, map[string]string{"RELAY_INHERITED_FD": fd}); err == nil {
 			t.Errorf("RELAY_INHERITED_FD=%q is taken", fd)
 		}
 	}
@@ -147,10 +147,10 @@
 
 // Two calls cross: the one that was noted first has its turn in the loop last. It does not undo the other one.
 func TestOrdersThatCross(t *testing.T) {
-	s := newServer(t, okAll)
+	s := newTestUpstream(t, respondOK)
 	h := newHand(t)
-	h.list(20, up("s-00000001", s), up("s-00000002", s))
-	c, err := load(t, configText, nil)
+	h.list(20, upMember("s-00000001", s), upMember("s-00000002", s))
+	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,10 +181,10 @@
 }
 
 // succeed starts another process of b, on the same socket and beside it. Its discovery has told nothing yet.
-func (b *balancer) succeed(t *testing.T, l net.Listener, members ...member) *balancer {
+func (b *testBalancer) succeed(t *testing.T, l net.Listener, members ...member) *testBalancer {
 	t.Helper()
 	admin := freeAddress(t)
-	heir := newBalancerWith(t, func(c *Config) {
+	heir := startBalancerWith(t, func(c *Config) {
 		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, inherit(t, l.(*net.TCPListener))
 	}, members...)
 	heir.url = "http://" + l.Addr().String()
@@ -200,70 +200,70 @@
 	}
 	defer l.Close()
 	hold, held := make(chan struct{}), atomic.Bool{}
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Hold") != "" {
 			held.Store(true)
 			<-hold
 		}
-		return ok(c, "done")
+		return writeOK(c, "done")
 	})
 	go func() {
-		for range s.arrivals {
+		for range s.received {
 		}
 	}()
-	worked := newServer(t, func(c net.Conn, _ *http.Request) bool { return ok(c, "never") })
-	members := []member{up("s-00000001", s), up("s-00000002", worked)}
-	first := &balancer{config: Config{StateDir: t.TempDir()}}
+	worked := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool { return writeOK(c, "never") })
+	members := []member{upMember("s-00000001", s), upMember("s-00000002", worked)}
+	first := &testBalancer{config: Config{StateDir: t.TempDir()}}
 	old := first.succeed(t, l, members...)
-	old.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	old.until(t, "ready", func() bool { return old.call(t, "GET", "/control/ready") == 200 })
-	want(t, "out", old.call(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
+	old.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	old.waitUntil(t, "ready", func() bool { return old.adminCall(t, "GET", "/control/ready") == 200 })
+	want(t, "out", old.adminCall(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
 
-	taken := old.connect(t)
-	taken.send(t, old.ask("checkin", "", "X-Hold", "1"))
-	old.until(t, "the request is with the server", held.Load)
+	taken := old.dialClient(t)
+	taken.send(t, old.newRequest("checkin", "", "X-Hold", "1"))
+	old.waitUntil(t, "the request is with the server", held.Load)
 	heir := old.succeed(t, l, members...)
-	heir.until(t, "an admin listener that says no without a list", func() bool { return heir.call(t, "GET", "/control/ready") == 503 })
-	want(t, "it asks for the whole list, which is told at once", <-heir.registry.calls, "")
-	heir.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	heir.until(t, "the new one is ready", func() bool { return heir.call(t, "GET", "/control/ready") == 200 })
+	heir.waitUntil(t, "an admin listener that says no without a list", func() bool { return heir.adminCall(t, "GET", "/control/ready") == 503 })
+	want(t, "it asks for the whole list, which is told at once", <-heir.discovery.calls, "")
+	heir.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	heir.waitUntil(t, "the new one is ready", func() bool { return heir.adminCall(t, "GET", "/control/ready") == 200 })
 	// Told to the new one while both take connections: it holds in both from the yes on.
-	want(t, "drain", heir.call(t, "PUT", "/control/out-of-service"), 200)
+	want(t, "drain", heir.adminCall(t, "PUT", "/control/out-of-service"), 200)
 	for range 20 {
-		want(t, "health in the drain", old.health(t), 503)
+		want(t, "health in the drain", old.healthStatus(t), 503)
 	}
-	want(t, "back", heir.call(t, "PUT", "/control/in-service"), 200)
+	want(t, "back", heir.adminCall(t, "PUT", "/control/in-service"), 200)
 	for range 20 {
-		want(t, "health", old.health(t), 200)
+		want(t, "health", old.healthStatus(t), 200)
 	}
-	idle := old.connect(t)
-	idle.send(t, old.ask("read", ""))
-	want(t, "kept", idle.answer(t).Close, false)
+	idle := old.dialClient(t)
+	idle.send(t, old.newRequest("read", ""))
+	want(t, "kept", idle.readResponse(t).Close, false)
 	old.cancel()
-	idle.send(t, old.ask("read", ""))
-	resp := idle.answer(t)
+	idle.send(t, old.newRequest("read", ""))
+	resp := idle.readResponse(t)
 	want(t, "on a kept connection", resp.StatusCode, 200)
 	for range 50 { // until the old one has closed what it had, and beyond
-		c := heir.connect(t)
-		c.send(t, heir.ask("read", ""))
-		want(t, "on a new connection", c.answer(t).StatusCode, 200)
+		c := heir.dialClient(t)
+		c.send(t, heir.newRequest("read", ""))
+		want(t, "on a new connection", c.readResponse(t).StatusCode, 200)
 	}
 	close(hold)
-	resp = taken.answer(t)
+	resp = taken.readResponse(t)
 	want(t, "taken by the old one", resp.StatusCode, 200)
-	if err := <-old.ended; err != nil {
+	if err := <-old.runResult; err != nil {
 		t.Error(err)
 	}
-	old.ended <- nil
-	want(t, "health of the new one", heir.health(t), 200)
+	old.runResult <- nil
+	want(t, "health of the new one", heir.healthStatus(t), 200)
 	select {
-	case r := <-worked.arrivals:
+	case r := <-worked.received:
 		t.Errorf("sent to an upstream in maintenance: %s", r.URL)
 	default:
 	}
-	want(t, "back from maintenance", heir.call(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
-	heir.until(t, "used again", func() bool {
-		_, body := heir.do(t, heir.ask("read", ""))
+	want(t, "back from maintenance", heir.adminCall(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
+	heir.waitUntil(t, "used again", func() bool {
+		_, body := heir.do(t, heir.newRequest("read", ""))
 		return body == "never"
 	})
 }
@@ -271,31 +271,31 @@
 // A balancer that was drained before its process was replaced is drained after it, and yet ready; SIGTERM ends it as
 // any other.
 func TestDrainOutlivesTheProcess(t *testing.T) {
-	s := newServer(t, okAll)
+	s := newTestUpstream(t, respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	members := []member{up("s-00000001", s)}
-	first := &balancer{config: Config{StateDir: t.TempDir()}}
+	members := []member{upMember("s-00000001", s)}
+	first := &testBalancer{config: Config{StateDir: t.TempDir()}}
 	if err := os.WriteFile(filepath.Join(first.config.StateDir, "olivearch-n0.json"),
 		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"fields are passed over"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	b := first.succeed(t, l, members...)
-	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	b.until(t, "ready", func() bool { return b.call(t, "GET", "/control/ready") == 200 })
-	want(t, "health", b.health(t), 503)
-	want(t, "back, of one that no list names now", b.call(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
-	c := b.connect(t)
-	c.send(t, b.ask("read", ""))
-	resp := c.answer(t)
+	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	b.waitUntil(t, "ready", func() bool { return b.adminCall(t, "GET", "/control/ready") == 200 })
+	want(t, "health", b.healthStatus(t), 503)
+	want(t, "back, of one that no list names now", b.adminCall(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
+	c := b.dialClient(t)
+	c.send(t, b.newRequest("read", ""))
+	resp := c.readResponse(t)
 	want(t, "served in the drain", resp.StatusCode, 200)
 	want(t, "closes behind it", resp.Close, true)
 	b.cancel()
-	if err := <-b.ended; err != nil {
+	if err := <-b.runResult; err != nil {
 		t.Error(err)
 	}
-	b.ended <- nil
+	b.runResult <- nil
 }
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -21,7 +21,7 @@
 
 func newHand(t *testing.T) *hand {
 	t.Helper()
-	c, err := load(t, configText, nil)
+	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,22 +68,22 @@
 // Thousands of upstreams come and go under new ids, each at the address of the one before, with ever new requests: what
 // the loop keeps returns to its size, and no connection crosses over from an old id to a new one.
 func TestStateReturnsToItsSize(t *testing.T) {
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { return ok(c, r.Header.Get("X-Request-Id")) })
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, r.Header.Get("X-Request-Id")) })
 	go func() {
-		for range s.arrivals {
+		for range s.received {
 		}
 	}()
 	h := newHand(t)
 	const ids = 2000
 	for i := range ids {
-		h.list(uint64(i+100), up(fmt.Sprintf("s-%08x", i), s))
+		h.list(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), s))
 		name := fmt.Sprintf("%016x", i)
 		a := h.ask(name, 4*time.Second)
 		if a.status != 200 || string(a.body) != name {
 			t.Fatalf("request %d: got %d, %q", i, a.status, a.body)
 		}
 	}
-	want(t, "connections opened", s.opened(), ids)
+	want(t, "connections opened", s.connsOpened(), ids)
 	want(t, "upstreams", len(h.upstreams), 1)
 	want(t, "numbers", len(h.upstreamIDs.ids), 1)
 	want(t, "numbers taken", len(h.upstreamIDs.taken), 1)
@@ -95,7 +95,7 @@
 	if n := len(h.timers); n > 5 { // the module's own timers
 		t.Errorf("alarms: %d are left", n)
 	}
-	h.list(90000, draining(up("s-0fffffff", s)))
+	h.list(90000, drainingMember(upMember("s-0fffffff", s)))
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
 	want(t, "numbers after the removal of what was never listed", len(h.upstreamIDs.ids), 1)
 }
@@ -103,13 +103,13 @@
 // At the bound of connections the one that idles longest makes room, at whatever upstream: the one that is asked is not
 // to blame.
 func TestIdleConnectionMakesRoom(t *testing.T) {
-	one, two := newServer(t, okAll), newServer(t, okAll)
+	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	h := newHand(t)
 	h.maxConns = 1
-	h.list(20, up("s-00000001", one))
+	h.list(20, upMember("s-00000001", one))
 	want(t, "first", h.ask("1", time.Second).status, 200)
-	h.list(21, up("s-00000001", one), up("s-00000002", two))
-	for i := 0; len(two.arrivals) == 0; i++ {
+	h.list(21, upMember("s-00000001", one), upMember("s-00000002", two))
+	for i := 0; len(two.received) == 0; i++ {
 		if i > 20 {
 			t.Fatal("the second upstream is never asked")
 		}
@@ -121,28 +121,28 @@
 // A second copy that comes behind an answer, in a segment of its own, is not taken for the next request's answer.
 func TestLateSecondCopyIsNotAnAnswer(t *testing.T) {
 	copied := make(chan struct{}, 2)
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
-		ok(c, r.Header.Get("X-Request-Id"))
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		writeOK(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
 			time.Sleep(connReuseDelay / 2) // later than the answer, sooner than the connection has rested
-			ok(c, "1")
+			writeOK(c, "1")
 			copied <- struct{}{}
 		}
 		return true
 	})
 	h := newHand(t)
-	h.list(20, up("s-00000001", s))
+	h.list(20, upMember("s-00000001", s))
 	want(t, "first", string(h.ask("1", time.Second).body), "1")
 	<-copied
 	want(t, "second", string(h.ask("2", time.Second).body), "2")
-	want(t, "connections opened", s.opened(), 2)
+	want(t, "connections opened", s.connsOpened(), 2)
 }
 
 // A connection rests for longer than second copies were seen to be late, and serves again behind that.
 func TestConnectionRestsBetweenTwoRequests(t *testing.T) {
-	s := newServer(t, okAll)
+	s := newTestUpstream(t, respondOK)
 	h := newHand(t)
-	h.list(20, up("s-00000001", s))
+	h.list(20, upMember("s-00000001", s))
 	want(t, "first", h.ask("1", time.Second).status, 200)
 	p := h.upstreams[h.upstreamIDs.id("s-00000001")]
 	since := p.idleConns[0].idleAt
@@ -155,16 +155,16 @@
 // An upstream that is gone with an attempt out is forgotten once that ends, and its connection is not kept.
 func TestGoneUpstreamEndsWithItsAttempt(t *testing.T) {
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
 	h := newHand(t)
-	h.list(20, up("s-00000001", s))
+	h.list(20, upMember("s-00000001", s))
 	r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
 	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
-	<-s.arrivals
-	h.list(21, up("s-00000002", s))
+	<-s.received
+	h.list(21, upMember("s-00000002", s))
 	want(t, "upstreams while it is out", len(h.upstreams), 2)
 	close(release)
 	(<-h.events).apply(h.loop)
@@ -177,11 +177,11 @@
 func TestNoRoomIsMoot(t *testing.T) {
 	h := newHand(t)
 	h.maxConns = 0
-	s := newServer(t, okAll)
-	h.list(20, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	h.list(20, upMember("s-00000001", s))
 	want(t, "status", h.ask("1", time.Second).status, http.StatusServiceUnavailable)
 	want(t, "connections", h.connCount, 0)
-	want(t, "upstreams asked", s.opened(), 0)
+	want(t, "upstreams asked", s.connsOpened(), 0)
 }
 
 // lateConns makes new connections come up only once they are let: begun tells of each that waits.
@@ -231,10 +231,10 @@
 		"left": func(h *hand, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t, okAll)
+			s := newTestUpstream(t, respondOK)
 			h := newHand(t)
 			begun, let := h.lateConns()
-			h.list(20, up("s-00000001", s))
+			h.list(20, upMember("s-00000001", s))
 			r := h.begin("read", "1", 100*time.Millisecond)
 			<-begun
 			end(h, r)
@@ -242,7 +242,7 @@
 			want(t, "over", r.closed, true)
 			close(let)
 			h.next() // the attempt's end, with its connection
-			want(t, "requests written", len(s.arrivals), 0)
+			want(t, "requests written", len(s.received), 0)
 			want(t, "connections kept", h.connCount, 1)
 			want(t, "requests open", len(h.requests), 0)
 			want(t, "outcomes that the module still waits for", r.inFlight, 0)
@@ -265,9 +265,9 @@
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	hang := func(net.Conn, *http.Request) bool { <-over; return false }
-	servers := [2]*server{newServer(t, hang), newServer(t, hang)}
+	servers := [2]*testUpstream{newTestUpstream(t, hang), newTestUpstream(t, hang)}
 	h := newHand(t)
-	up0, up1 := up("s-00000001", servers[0]), up("s-00000002", servers[1])
+	up0, up1 := upMember("s-00000001", servers[0]), upMember("s-00000002", servers[1])
 	let := map[string]chan struct{}{servers[0].addr: make(chan struct{}), servers[1].addr: make(chan struct{})}
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		<-let[address]
@@ -280,11 +280,11 @@
 	h.Send(r.ID, h.upstreamIDs.id(up1.ID), 0, window)
 	clock.Store(int64(r.attempts[1].sentAt))
 	close(let[servers[order[0]].addr])
-	<-servers[order[0]].arrivals
+	<-servers[order[0]].received
 	clock.Add(int64(late))
 	close(let[servers[order[1]].addr])
 	select {
-	case <-servers[order[1]].arrivals:
+	case <-servers[order[1]].received:
 		return 2
 	case e := <-h.events: // it ended without
 		want(t, "how it ended", e.(attemptFinished).status, garnettide.NotSent)
@@ -314,20 +314,20 @@
 // What a request states of its time is what is left as it is written, and one whose time is over is not written.
 func TestTimeIsStatedAtTheWrite(t *testing.T) {
 	for late, stated := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
-		s := newServer(t, okAll)
+		s := newTestUpstream(t, respondOK)
 		h := newHand(t)
 		begun, let := h.lateConns()
 		clock := h.clock()
-		h.list(20, up("s-00000001", s))
+		h.list(20, upMember("s-00000001", s))
 		r := h.begin("read", "1", time.Second)
 		<-begun
 		clock.Store(int64(r.attempts[0].responseDeadline - time.Second + late))
 		close(let)
 		h.next()
 		if stated == "" {
-			want(t, "requests written", len(s.arrivals), 0)
+			want(t, "requests written", len(s.received), 0)
 		} else {
-			want(t, "time stated", (<-s.arrivals).Header.Get("X-Deadline-Ms"), stated)
+			want(t, "time stated", (<-s.received).Header.Get("X-Deadline-Ms"), stated)
 		}
 	}
 }
@@ -345,12 +345,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t, okAll)
+			s := newTestUpstream(t, respondOK)
 			h := newHand(t)
-			one := up("s-00000001", s)
+			one := upMember("s-00000001", s)
 			h.list(20, one)
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
-			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{draining(one)}}}
+			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{drainingMember(one)}}}
 			r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 			r.Class, r.Budget = "checkin", time.Second
 			r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
@@ -390,7 +390,7 @@
 // reader comes to close it: two out at once are a second copy.
 func TestGivenUpBeforeTheNextIsWritten(t *testing.T) {
 	hold := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-hold; return false })
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-hold; return false })
 	h := newHand(t)
 	told, n := make(chan string, 10), 0
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -402,10 +402,10 @@
 		return toldConn{c.(*net.TCPConn), fmt.Sprint(n), told, hold}, nil
 	}
 	t.Cleanup(func() { close(hold) })
-	h.list(20, up("s-00000001", s))
+	h.list(20, upMember("s-00000001", s))
 	r := h.begin("read", "1", 4*time.Second)
 	want(t, "first", <-told, "1 written")
-	<-s.arrivals
+	<-s.received
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	if len(r.attempts) == 1 { // the module waits for a turn
 		h.Send(r.ID, r.attempts[0].upstream.id, 0, 0)
@@ -416,9 +416,9 @@
 
 // An attempt is given up in the moment in which its answer has come: its connection does not serve again.
 func TestGivenUpConnectionIsNotKept(t *testing.T) {
-	s := newServer(t, okAll)
+	s := newTestUpstream(t, respondOK)
 	h := newHand(t)
-	h.list(20, up("s-00000001", s))
+	h.list(20, upMember("s-00000001", s))
 	r := h.begin("read", "1", 4*time.Second)
 	e := <-h.events // the answer, which the loop has not heard of
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -12,12 +12,12 @@
 )
 
 // newOperated is a balancer with an admin listener. discovery has told its list once.
-func newOperated(t *testing.T, members ...member) *balancer {
+func startBalancerWithAdmin(t *testing.T, members ...member) *testBalancer {
 	t.Helper()
-	admin, dir := freeAddress(t), t.TempDir()
-	b := newBalancerWith(t, func(c *Config) { c.Operator, c.StateDir = admin, dir }, members...)
-	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	b.until(t, "ready", func() bool { return b.call(t, "GET", "/control/ready") == 200 })
+	adminAddress, stateDir := freeAddress(t), t.TempDir()
+	b := startBalancerWith(t, func(c *Config) { c.Operator, c.StateDir = adminAddress, stateDir }, members...)
+	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	b.waitUntil(t, "ready", func() bool { return b.adminCall(t, "GET", "/control/ready") == 200 })
 	return b
 }
 
@@ -33,23 +33,23 @@
 }
 
 // until waits for something that is bound to happen.
-func (b *balancer) until(t *testing.T, what string, so func() bool) {
+func (b *testBalancer) waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !so(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("never: " + what)
 		}
 	}
 }
 
 // call makes an operator's call and returns its status; 0: no connection.
-func (b *balancer) call(t *testing.T, method, path string) int {
+func (b *testBalancer) adminCall(t *testing.T, method, path string) int {
 	t.Helper()
-	return b.say(t, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	return b.rawAdminCall(t, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
 // say sends a text to the admin listener and returns the status of the answer, behind which the connection has to end.
-func (b *balancer) say(t *testing.T, text string) int {
+func (b *testBalancer) rawAdminCall(t *testing.T, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", b.config.Operator)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return resp.StatusCode
 }
 
-func TestDoorSaysNoToWhatIsNoCall(t *testing.T) {
-	b := newOperated(t, up("s-00000001", newServer(t, okAll)))
+func TestAdminListenerRejectsInvalidCalls(t *testing.T) {
+	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
 	for text, status := range map[string]int{
 		"GET /control/nothing HTTP/1.1\r\nHost: x\r\n\r\n":                                                  404,
 		"GET / HTTP/1.1\r\nHost: x\r\n\r\n":                                                                 404,
@@ -92,14 +92,14 @@
 		"\x16\x03\x01 nothing of this kind\r\n\r\n":                                                         400,
 		"PUT /control/out-of-service HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("y", 64<<10) + "\r\n\r\n": 431,
 	} {
-		want(t, fmt.Sprintf("%.60q", text), b.say(t, text), status)
+		want(t, fmt.Sprintf("%.60q", text), b.rawAdminCall(t, text), status)
 	}
-	want(t, "health after all that", b.health(t), 200)
+	want(t, "health after all that", b.healthStatus(t), 200)
 }
 
 // Callers who say nothing take every place at the admin listener, and more: a call still has its answer at once.
-func TestUnfinishedCallsDelayNone(t *testing.T) {
-	b := newOperated(t, up("s-00000001", newServer(t, okAll)))
+func TestUnfinishedAdminCallsDelayNoOthers(t *testing.T) {
+	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
 	var silent []net.Conn
 	for i := range 3 * adminConns {
 		c, err := net.Dial("tcp", b.config.Operator)
@@ -113,7 +113,7 @@
 		silent = append(silent, c)
 	}
 	start := time.Now()
-	want(t, "ready, beside callers who say nothing", b.call(t, "GET", "/control/ready"), 200)
+	want(t, "ready, beside callers who say nothing", b.adminCall(t, "GET", "/control/ready"), 200)
 	if took := time.Since(start); took > adminCallTimeout/2 {
 		t.Errorf("the call took %v", took)
 	}
@@ -125,11 +125,11 @@
 			}
 		}
 	}
-	want(t, "health", b.health(t), 200)
+	want(t, "health", b.healthStatus(t), 200)
 }
 
 // health asks the clients' address on a connection of its own.
-func (b *balancer) health(t *testing.T) int {
+func (b *testBalancer) healthStatus(t *testing.T) int {
 	t.Helper()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get(b.url + "/healthz")
@@ -140,71 +140,71 @@
 	return resp.StatusCode
 }
 
-func TestReadyOnlyWithTheList(t *testing.T) {
-	b := newBalancerWith(t, func(c *Config) { c.Operator = "127.0.0.1:0" })
-	l := b.config // the listing held from before is empty: nothing can be served by it
-	h := newLoop(t.Context(), &l)
-	want(t, "at first", h.missing() != "", true)
-	h.clockBase -= 2 * initialListTimeout
-	want(t, "with no list at all", h.missing() != "", true)
-	h.listReceived = true
-	want(t, "once told", h.missing(), "")
+func TestReadyRequiresDiscoveryList(t *testing.T) {
+	b := startBalancerWith(t, func(c *Config) { c.Operator = "127.0.0.1:0" })
+	cfg := b.config // the listing held from before is empty: nothing can be served by it
+	l := newLoop(t.Context(), &cfg)
+	want(t, "at first", l.missing() != "", true)
+	l.clockBase -= 2 * initialListTimeout
+	want(t, "with no list at all", l.missing() != "", true)
+	l.listReceived = true
+	want(t, "once told", l.missing(), "")
 }
 
 // A drained balancer says so, serves what still comes and closes behind it, keeps no idle connection, and comes back.
-func TestDrainedBalancerServesWhatComesAndKeepsNoConnection(t *testing.T) {
-	hold := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+func TestDrainServesRequestsAndClosesConnections(t *testing.T) {
+	release := make(chan struct{})
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if r.URL.Path == "/checkin/x" {
-			<-hold
+			<-release
 		}
-		return ok(c, "done")
+		return writeOK(c, "done")
 	})
-	b := newOperated(t, up("s-00000001", s))
-	idle := b.connect(t)
-	idle.send(t, b.ask("read", ""))
-	want(t, "before the drain", idle.answer(t).Close, false)
-	working := b.connect(t)
-	working.send(t, b.ask("checkin", "x"))
-	<-s.arrivals
-	<-s.arrivals
-	unused := b.connect(t)
+	b := startBalancerWithAdmin(t, upMember("s-00000001", upstream))
+	idle := b.dialClient(t)
+	idle.send(t, b.newRequest("read", ""))
+	want(t, "before the drain", idle.readResponse(t).Close, false)
+	working := b.dialClient(t)
+	working.send(t, b.newRequest("checkin", "x"))
+	<-upstream.received
+	<-upstream.received
+	unused := b.dialClient(t)
 	start := time.Now()
-	want(t, "drain", b.call(t, "PUT", "/control/out-of-service"), 200)
-	want(t, "again", b.call(t, "PUT", "/control/out-of-service"), 200)
-	want(t, "health", b.health(t), 503)
-	late := b.connect(t)
-	late.send(t, b.ask("read", ""))
-	resp := late.answer(t)
+	want(t, "drain", b.adminCall(t, "PUT", "/control/out-of-service"), 200)
+	want(t, "again", b.adminCall(t, "PUT", "/control/out-of-service"), 200)
+	want(t, "health", b.healthStatus(t), 503)
+	late := b.dialClient(t)
+	late.send(t, b.newRequest("read", ""))
+	resp := late.readResponse(t)
 	want(t, "served in the drain", resp.StatusCode, 200)
 	want(t, "closes behind it", resp.Close, true)
-	for _, c := range []*link{idle, unused} {
-		if _, err := c.in.ReadByte(); err != io.EOF {
+	for _, c := range []*testClientConn{idle, unused} {
+		if _, err := c.reader.ReadByte(); err != io.EOF {
 			t.Errorf("a connection that holds nothing: %v", err)
 		}
 	}
 	if took := time.Since(start); took < acceptGracePeriod || took > 4*time.Second {
 		t.Errorf("connections that hold nothing were closed after %v", took)
 	}
-	close(hold)
-	resp = working.answer(t)
+	close(release)
+	resp = working.readResponse(t)
 	want(t, "taken before the drain", resp.StatusCode, 200)
 	want(t, "closes behind it", resp.Close, true)
-	want(t, "back", b.call(t, "PUT", "/control/in-service"), 200)
-	want(t, "back again", b.call(t, "PUT", "/control/in-service"), 200)
-	want(t, "health after the drain", b.health(t), 200)
-	after := b.connect(t)
-	after.send(t, b.ask("read", ""))
-	want(t, "kept after the drain", after.answer(t).Close, false)
+	want(t, "back", b.adminCall(t, "PUT", "/control/in-service"), 200)
+	want(t, "back again", b.adminCall(t, "PUT", "/control/in-service"), 200)
+	want(t, "health after the drain", b.healthStatus(t), 200)
+	after := b.dialClient(t)
+	after.send(t, b.newRequest("read", ""))
+	want(t, "kept after the drain", after.readResponse(t).Close, false)
 }
 
 // link is a client's connection, written and read by hand.
-type link struct {
+type testClientConn struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (b *balancer) connect(t *testing.T) *link {
+func (b *testBalancer) dialClient(t *testing.T) *testClientConn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	if err != nil {
@@ -212,20 +212,20 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	return &link{c, bufio.NewReader(c)}
+	return &testClientConn{c, bufio.NewReader(c)}
 }
 
-func (l *link) send(t *testing.T, r *http.Request) {
+func (c *testClientConn) send(t *testing.T, r *http.Request) {
 	t.Helper()
-	if err := r.Write(l); err != nil {
+	if err := r.Write(c); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // answer reads an answer whole.
-func (l *link) answer(t *testing.T) *http.Response {
+func (c *testClientConn) readResponse(t *testing.T) *http.Response {
 	t.Helper()
-	resp, err := http.ReadResponse(l.in, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,19 +237,19 @@
 
 // An upstream that operators take out gets nothing more, on kept connections neither, whatever discovery says, until one
 // call back. With none left a request is refused at once.
-func TestMaintenanceOfAnUpstream(t *testing.T) {
-	names := []string{"s-00000001", "odd/id %"}
-	var served [2]*server
+func TestUpstreamMaintenance(t *testing.T) {
+	ids := []string{"s-00000001", "odd/id %"}
+	var upstreams [2]*testUpstream
 	var members []member
-	for i, id := range names {
-		served[i] = newServer(t, func(c net.Conn, _ *http.Request) bool { return ok(c, id) })
-		members = append(members, up(id, served[i]))
+	for i, id := range ids {
+		upstreams[i] = newTestUpstream(t, func(c net.Conn, _ *http.Request) bool { return writeOK(c, id) })
+		members = append(members, upMember(id, upstreams[i]))
 	}
-	b := newOperated(t, members...)
-	ask := func(n int) map[string]int {
+	b := startBalancerWithAdmin(t, members...)
+	sendReads := func(n int) map[string]int {
 		got := map[string]int{}
 		for range n {
-			status, body := b.do(t, b.ask("read", ""))
+			status, body := b.do(t, b.newRequest("read", ""))
 			if status != 200 {
 				body = fmt.Sprint(status)
 			}
@@ -257,26 +257,26 @@
 		}
 		return got
 	}
-	if got := ask(20); got[names[0]] == 0 || got[names[1]] == 0 {
+	if got := sendReads(20); got[ids[0]] == 0 || got[ids[1]] == 0 {
 		t.Fatalf("at first: %v", got)
 	}
-	odd := "/control/upstreams/odd%2Fid%20%25/"
-	want(t, "out", b.call(t, "PUT", odd+"offline"), 200)
-	want(t, "out again", b.call(t, "PUT", odd+"offline"), 200)
-	want(t, "left out", ask(20)[names[1]], 0)
-	b.registry.answers <- discoveryList{Revision: 12, Complete: true, Members: members[:1]}
-	b.registry.answers <- discoveryList{Revision: 13, Complete: true, Members: members}
-	b.registry.answers <- discoveryList{Revision: 14} // it has heard of 13 when it asks again
-	want(t, "left out, gone and listed again", ask(20)[names[1]], 0)
-	want(t, "out, all of them", b.call(t, "PUT", "/control/upstreams/s-00000001/offline"), 200)
+	oddPath := "/control/upstreams/odd%2Fid%20%25/"
+	want(t, "out", b.adminCall(t, "PUT", oddPath+"offline"), 200)
+	want(t, "out again", b.adminCall(t, "PUT", oddPath+"offline"), 200)
+	want(t, "left out", sendReads(20)[ids[1]], 0)
+	b.discovery.responses <- discoveryList{Revision: 12, Complete: true, Members: members[:1]}
+	b.discovery.responses <- discoveryList{Revision: 13, Complete: true, Members: members}
+	b.discovery.responses <- discoveryList{Revision: 14} // it has heard of 13 when it asks again
+	want(t, "left out, gone and listed again", sendReads(20)[ids[1]], 0)
+	want(t, "out, all of them", b.adminCall(t, "PUT", "/control/upstreams/s-00000001/offline"), 200)
 	start := time.Now()
-	want(t, "with none left", ask(1)["503"], 1)
+	want(t, "with none left", sendReads(1)["503"], 1)
 	if took := time.Since(start); took > time.Second {
 		t.Errorf("refused after %v", took)
 	}
-	want(t, "back", b.call(t, "PUT", odd+"online"), 200)
-	want(t, "back", ask(1)[names[1]], 1)
-	want(t, "back again", b.call(t, "PUT", odd+"online"), 200)
-	want(t, "back, all", b.call(t, "PUT", "/control/upstreams/s-00000001/online"), 200)
-	want(t, "back, all", ask(20)["503"], 0)
+	want(t, "back", b.adminCall(t, "PUT", oddPath+"online"), 200)
+	want(t, "back", sendReads(1)[ids[1]], 1)
+	want(t, "back again", b.adminCall(t, "PUT", oddPath+"online"), 200)
+	want(t, "back, all", b.adminCall(t, "PUT", "/control/upstreams/s-00000001/online"), 200)
+	want(t, "back, all", sendReads(20)["503"], 0)
 }
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -67,7 +67,7 @@
 
 // reloading is a running balancer whose process reads its configuration again on a signal.
 type reloading struct {
-	*balancer
+	*testBalancer
 	path    string
 	hangups chan os.Signal
 	inForce chan string // the hash of each configuration as it goes in force, told on the loop
@@ -128,7 +128,7 @@
 	t.Helper()
 	r := &reloading{path: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
 		inForce: make(chan string, 10000), log: &lines{came: make(chan struct{}, 1)}}
-	r.balancer = newBalancerWith(t, func(c *Config) {
+	r.testBalancer = startBalancerWith(t, func(c *Config) {
 		c.OnConfigApplied = func(hash string, took time.Duration) {
 			if took < 0 || took > time.Minute {
 				t.Errorf("in force after %v", took)
@@ -210,24 +210,24 @@
 // A class that comes with a SIGHUP is served, one that goes is refused, limits and links are the new ones, and the log says
 // which configuration is in force, since when, and what it has changed.
 func TestSettingsAreInForceWithoutARestart(t *testing.T) {
-	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-	status, _ := r.do(t, r.ask("parcel", ""))
+	s := newTestUpstream(t, respondOK)
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", s))
+	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "a class that is not set yet", status, 400)
 	r.reload(t, append(added("parcel"), append(gone, `"connect_timeout_us":500000`, `"connect_timeout_us":70000`,
 		`"keepalive_us":60000000`, `"keepalive_us":20000000`, `"max_attempts":3`,
 		`"max_attempts":2,"retry_after":true,"max_retry_after_us":5000`,
 		`"name":"read","target_us":2000000,"give_up_us":4000000`, `"name":"read","target_us":2000000,"give_up_us":2500000`,
 		`"reporting"`, `"tenants":[{"name":"t1","quota_rps":2}],"reporting"`)...)...)
-	status, _ = r.do(t, r.ask("parcel", ""))
+	status, _ = r.do(t, r.newRequest("parcel", ""))
 	want(t, "the class that came", status, 200)
-	status, _ = r.do(t, r.ask("checkin", ""))
+	status, _ = r.do(t, r.newRequest("checkin", ""))
 	want(t, "the class that went", status, 400)
-	status, _ = r.do(t, r.ask("parcel", "", "X-Tenant", "t1"))
+	status, _ = r.do(t, r.newRequest("parcel", "", "X-Tenant", "t1"))
 	want(t, "the tenant that came", status, 200)
-	status, _ = r.do(t, r.ask("parcel", "", "X-Tenant", "t2"))
+	status, _ = r.do(t, r.newRequest("parcel", "", "X-Tenant", "t2"))
 	want(t, "a tenant that is not set", status, 503)
-	r.loopSays(func(l *loop) bool {
+	r.checkOnLoop(func(l *loop) bool {
 		want(t, "connect time-out", l.transport.timeout, 70*time.Millisecond)
 		want(t, "idle for", l.upstreamIdleTimeout, 15*time.Second)
 		want(t, "attempts", l.settings.Limits.MaxAttempts, 2)
@@ -244,13 +244,13 @@
 	r.log.has(t, "configuration in force", "hash="+hash)
 	r.signal(t, hash)
 	r.log.has(t, "the file's bytes are the same", "hash="+hash)
-	status, _ = r.do(t, r.ask("parcel", ""))
+	status, _ = r.do(t, r.newRequest("parcel", ""))
 	want(t, "after the same again", status, 200)
 }
 
 // The hash that a start logs is that of the file it has read.
 func TestHashOfTheStart(t *testing.T) {
-	c, err := load(t, configText, nil)
+	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,37 +262,37 @@
 func TestWhatIsInHandEndsByItsOwnTerms(t *testing.T) {
 	release := make(chan struct{})
 	var asked atomic.Int32
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		<-release
-		return asked.Add(1) > 1 && okAll(c, r) // the first answer breaks off
+		return asked.Add(1) > 1 && respondOK(c, r) // the first answer breaks off
 	})
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
-	keyed := r.connect(t)
-	keyed.send(t, r.ask("pay", ""))
-	<-s.arrivals
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", s), upMember("s-00000002", s))
+	keyed := r.dialClient(t)
+	keyed.send(t, r.newRequest("pay", ""))
+	<-s.received
 	r.reload(t, `"name":"pay"`, `"name":"other"`, `"give_up_us":4000000`, `"give_up_us":2000000`)
-	status, _ := r.do(t, r.ask("pay", ""))
+	status, _ := r.do(t, r.newRequest("pay", ""))
 	want(t, "a new request of the class that is gone", status, 400)
 	close(release)
-	want(t, "the one in hand", keyed.answer(t).StatusCode, 200)
-	want(t, "attempts of it", len(s.arrivals)+1, 2)
+	want(t, "the one in hand", keyed.readResponse(t).StatusCode, 200)
+	want(t, "attempts of it", len(s.received)+1, 2)
 }
 
 // A deadline that is changed while requests are in hand is that of the next ones. Each request ends once, in time.
 func TestDeadlineOfWhatIsInHandStays(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	s := newServer(t, func(net.Conn, *http.Request) bool { <-release; return false })
+	s := newTestUpstream(t, func(net.Conn, *http.Request) bool { <-release; return false })
 	h := newHand(t)
-	h.list(20, up("s-00000001", s), up("s-00000002", s))
+	h.list(20, upMember("s-00000001", s), upMember("s-00000002", s))
 	begin := func(name string, budget time.Duration) *request {
 		r := h.begin("checkin", name, budget)
-		for limit := time.Now().Add(10 * time.Second); len(s.arrivals) == 0; h.fireTimers() {
+		for limit := time.Now().Add(10 * time.Second); len(s.received) == 0; h.fireTimers() {
 			if time.Now().After(limit) {
 				t.Fatal("request " + name + " is not sent")
 			}
 		}
-		<-s.arrivals
+		<-s.received
 		return r
 	}
 	before := begin("1", 4*time.Second)
@@ -328,27 +328,27 @@
 			`"name":"checkin","target_us":1000,"give_up_us":1000`}, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, func(net.Conn, *http.Request) bool { return false }) // it breaks off
-			r := newReloading(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
-			raw := r.connect(t)
-			io.WriteString(raw, checkin("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
-			want(t, "asked to go on", raw.answer(t).StatusCode, 100)
+			s := newTestUpstream(t, func(net.Conn, *http.Request) bool { return false }) // it breaks off
+			r := newReloading(t, func(*Config) {}, upMember("s-00000001", s), upMember("s-00000002", s))
+			raw := r.dialClient(t)
+			io.WriteString(raw, checkinRequest("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
+			want(t, "asked to go on", raw.readResponse(t).StatusCode, 100)
 			r.reload(t, append([]string{`"az":"z1"`, `"az":"z2"`}, c.replaced...)...)
 			io.WriteString(raw, "body")
-			want(t, "status", raw.answer(t).StatusCode, c.status)
-			want(t, "attempts", len(s.arrivals), c.sends)
-			r.loopSays(func(l *loop) bool { want(t, "kept", len(l.requests)+len(l.openIDs), 0); return true })
+			want(t, "status", raw.readResponse(t).StatusCode, c.status)
+			want(t, "attempts", len(s.received), c.sends)
+			r.checkOnLoop(func(l *loop) bool { want(t, "kept", len(l.requests)+len(l.openIDs), 0); return true })
 		})
 	}
 }
 
 // A file that can't be read or is not valid changes nothing, and the log names it and what is wrong.
 func TestInvalidConfigurationChangesNothing(t *testing.T) {
-	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", s))
 	r.reload(t, added("parcel")...)
 	in := func() (p *garnettide.Plan) {
-		r.loopSays(func(l *loop) bool { p = l.balancer.Plan(); return true })
+		r.checkOnLoop(func(l *loop) bool { p = l.balancer.Plan(); return true })
 		return p
 	}
 	held := in()
@@ -395,7 +395,7 @@
 		r.put(t, c.text)
 		lines := r.log.count("the old one stays")
 		r.hangups <- syscall.SIGHUP
-		r.until(t, "a line", func() bool { return r.log.count("the old one stays") > lines })
+		r.waitUntil(t, "a line", func() bool { return r.log.count("the old one stays") > lines })
 		r.log.has(t, append([]string{"the old one stays", filepath.Base(path)}, c.names...)...)
 		r.path = old
 	}
@@ -404,17 +404,17 @@
 	r.log.has(t, "the old one stays", r.path, "no such file")
 	want(t, "the plan in force", in(), held)
 	want(t, "configurations in force", len(r.inForce), 0)
-	status, _ := r.do(t, r.ask("parcel", ""))
+	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "still served", status, 200)
 	r.reload(t, added("letter")...)
-	status, _ = r.do(t, r.ask("letter", ""))
+	status, _ = r.do(t, r.newRequest("letter", ""))
 	want(t, "after a good one", status, 200)
 }
 
 // What can't change in a running process keeps its value, and the log names it. The rest of the file is in force.
 func TestWhatNeedsARestartIsNamed(t *testing.T) {
-	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", s))
 	r.reload(t)
 	want(t, "nothing differs", r.log.count("next start"), 0)
 	text := configWith(t, r.config.Discovery, nil, added("parcel")...)
@@ -432,16 +432,16 @@
 		r.log.has(t, x)
 	}
 	want(t, "lines", r.log.count("next start"), 6)
-	r.loopSays(func(l *loop) bool { want(t, "connections", l.maxConns, 1024/3); return true })
-	status, _ := r.do(t, r.ask("parcel", ""))
+	r.checkOnLoop(func(l *loop) bool { want(t, "connections", l.maxConns, 1024/3); return true })
+	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "the rest is in force", status, 200)
 }
 
 // Reloads come faster than they can be taken. While one is being built its file is replaced, and signals come, again and again:
 // what goes in force next is the newest file, whole, and nothing older after it.
 func TestNewestOfABurstIsInForce(t *testing.T) {
-	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", s))
 	fill := func(i int) []string { // enough for many slices; classes and tenants tell which file they are of
 		var list strings.Builder
 		for k := range 5000 {
@@ -470,7 +470,7 @@
 	want(t, "then the newest", hashes[r.next(t)], 6)
 	r.log.has(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
 	for i, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
-		got, _ := r.do(t, r.ask(i, "", "X-Tenant", "last"))
+		got, _ := r.do(t, r.newRequest(i, "", "X-Tenant", "last"))
 		want(t, i, got, status)
 	}
 	// A flood of signals, with a new file for each, as fast as they can be written.
@@ -492,21 +492,21 @@
 			break
 		}
 	}
-	status, _ := r.do(t, r.ask("class39", "", "X-Tenant", "last"))
+	status, _ := r.do(t, r.newRequest("class39", "", "X-Tenant", "last"))
 	want(t, "the last class", status, 200)
 }
 
 // While the loop takes nothing, signals and files go on: the reload that was built waits, none is lost, and behind it the
 // newest file is read.
 func TestReloadsWhileTheLoopIsHeldUp(t *testing.T) {
-	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
+	s := newTestUpstream(t, respondOK)
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", s))
 	held, let := make(chan struct{}), make(chan struct{})
-	go r.loopSays(func(*loop) bool { close(held); <-let; return true })
+	go r.checkOnLoop(func(*loop) bool { close(held); <-let; return true })
 	<-held
 	first := r.write(t, added("a")...)
 	r.hangups <- syscall.SIGHUP
-	r.until(t, "the signal is taken", func() bool { return len(r.hangups) == 0 })
+	r.waitUntil(t, "the signal is taken", func() bool { return len(r.hangups) == 0 })
 	var last string
 	for i := range 100 {
 		last = r.write(t, added(fmt.Sprint("b", i))...)
@@ -521,9 +521,9 @@
 	for hash != last {
 		hash = r.next(t)
 	}
-	status, _ := r.do(t, r.ask("b99", ""))
+	status, _ := r.do(t, r.newRequest("b99", ""))
 	want(t, "the newest", status, 200)
-	status, _ = r.do(t, r.ask("a", ""))
+	status, _ = r.do(t, r.newRequest("a", ""))
 	want(t, "the first, "+first, status, 400)
 }
 
@@ -533,86 +533,86 @@
 	for _, stopFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) {
 			release := make(chan struct{})
-			s := newServer(t, func(c net.Conn, q *http.Request) bool {
+			s := newTestUpstream(t, func(c net.Conn, q *http.Request) bool {
 				if strings.HasPrefix(q.URL.Path, "/checkin") {
 					<-release
 				}
-				return okAll(c, q)
+				return respondOK(c, q)
 			})
-			r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-			taken := r.connect(t)
-			taken.send(t, r.ask("checkin", ""))
-			<-s.arrivals
-			late := r.connect(t) // its request has begun when the stop comes, so it is waited for
+			r := newReloading(t, func(*Config) {}, upMember("s-00000001", s))
+			taken := r.dialClient(t)
+			taken.send(t, r.newRequest("checkin", ""))
+			<-s.received
+			late := r.dialClient(t) // its request has begun when the stop comes, so it is waited for
 			io.WriteString(late, "POST /parcel")
 			if stopFirst {
 				r.cancel()
-				r.until(t, "the stop has begun", func() bool { return r.health(t) != 200 })
+				r.waitUntil(t, "the stop has begun", func() bool { return r.healthStatus(t) != 200 })
 			}
 			r.reload(t, append(added("parcel"), gone...)...)
 			r.cancel()
 			io.WriteString(late, "/x HTTP/1.1\r\nHost: x\r\nX-Class: parcel\r\nX-Request-Id: late\r\nContent-Length: 0\r\n\r\n")
-			want(t, "of the new class", late.answer(t).StatusCode, 200)
+			want(t, "of the new class", late.readResponse(t).StatusCode, 200)
 			close(release)
-			want(t, "the request in hand", taken.answer(t).StatusCode, 200)
-			if err := <-r.ended; err != nil {
+			want(t, "the request in hand", taken.readResponse(t).StatusCode, 200)
+			if err := <-r.runResult; err != nil {
 				t.Error(err)
 			}
-			r.ended <- nil
+			r.runResult <- nil
 		})
 	}
 }
 
 // Settings and discovery change in one file: both are in force, and a late answer of the old discovery is none.
 func TestSettingsAndDiscoveryMoveTogether(t *testing.T) {
-	one, two := newServer(t, okAll), newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", one))
-	<-r.registry.calls
-	next := newRegistry(t)
+	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+	r := newReloading(t, func(*Config) {}, upMember("s-00000001", one))
+	<-r.discovery.calls
+	next := newManualDiscovery(t)
 	r.signal(t, r.put(t, configWith(t, next.addr, nil, added("parcel")...)))
 	want(t, "call at the new discovery", <-next.calls, "")
-	next.answers <- discoveryList{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
-	want(t, "its next call", since(<-next.calls), "since=3")
-	status, _ := r.do(t, r.ask("parcel", ""))
+	next.responses <- discoveryList{Revision: 3, Complete: true, Members: []member{upMember("s-00000002", two)}}
+	want(t, "its next call", withoutTimeout(<-next.calls), "since=3")
+	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "of the new class", status, 200)
-	want(t, "requests at the old list's server", len(one.arrivals), 0)
-	want(t, "requests at the new one's", len(two.arrivals), 1)
+	want(t, "requests at the old list's server", len(one.received), 0)
+	want(t, "requests at the new one's", len(two.received), 1)
 	// An invalid file moves nothing.
 	r.put(t, strings.Replace(configWith(t, r.config.Discovery, nil, added("letter")...), `"balancers":1`, `"balancers":0`, 1))
 	r.hangups <- syscall.SIGHUP
 	r.log.has(t, "the old one stays")
-	r.loopSays(func(l *loop) bool { want(t, "discovery", l.discoveryClient.address, next.addr); return true })
+	r.checkOnLoop(func(l *loop) bool { want(t, "discovery", l.discoveryClient.address, next.addr); return true })
 }
 
 // A list and a reload come in the same moment, in both orders: both hold for the first request after them.
 func TestListAndSettingsInTheSameMoment(t *testing.T) {
 	for _, listFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("list first ", listFirst), func(t *testing.T) {
-			one, two := newServer(t, okAll), newServer(t, okAll)
-			r := newReloading(t, func(*Config) {}, up("s-00000001", one))
-			<-r.registry.calls
+			one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+			r := newReloading(t, func(*Config) {}, upMember("s-00000001", one))
+			<-r.discovery.calls
 			held, let := make(chan struct{}), make(chan struct{})
-			go r.loopSays(func(*loop) bool { close(held); <-let; return true })
+			go r.checkOnLoop(func(*loop) bool { close(held); <-let; return true })
 			<-held // the loop stands still, and both come up
 			list := func() {
-				r.registry.answers <- discoveryList{Revision: 12, Complete: true, Members: []member{up("s-00000002", two)}}
-				r.until(t, "the list waits", func() bool { return len(r.loop.listUpdates) == 1 })
+				r.discovery.responses <- discoveryList{Revision: 12, Complete: true, Members: []member{upMember("s-00000002", two)}}
+				r.waitUntil(t, "the list waits", func() bool { return len(r.loop.listUpdates) == 1 })
 			}
 			if listFirst {
 				list()
 			}
 			hash := r.write(t, added("parcel")...)
 			r.hangups <- syscall.SIGHUP
-			r.until(t, "the reload waits", func() bool { return len(r.loop.events) == 1 })
+			r.waitUntil(t, "the reload waits", func() bool { return len(r.loop.events) == 1 })
 			if !listFirst {
 				list()
 			}
 			close(let)
 			want(t, "in force", r.next(t), hash)
-			status, _ := r.do(t, r.ask("parcel", ""))
+			status, _ := r.do(t, r.newRequest("parcel", ""))
 			want(t, "of the new class", status, 200)
-			want(t, "requests at the server that left", len(one.arrivals), 0)
-			want(t, "requests at the one that came", len(two.arrivals), 1)
+			want(t, "requests at the server that left", len(one.received), 0)
+			want(t, "requests at the one that came", len(two.received), 1)
 		})
 	}
 }
@@ -626,13 +626,13 @@
 	}
 	defer l.Close()
 	release := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool {
+	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/checkin") {
 			<-release
 		}
-		return okAll(c, r)
+		return respondOK(c, r)
 	})
-	members, dir := []member{up("s-00000001", s)}, t.TempDir()
+	members, dir := []member{upMember("s-00000001", s)}, t.TempDir()
 	process := func() *reloading {
 		admin := freeAddress(t)
 		r := newReloading(t, func(c *Config) {
@@ -642,30 +642,30 @@
 		return r
 	}
 	older := process()
-	<-older.registry.calls
-	older.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	older.until(t, "ready", func() bool { return older.call(t, "GET", "/control/ready") == 200 })
-	taken := older.connect(t)
-	taken.send(t, older.ask("checkin", ""))
-	<-s.arrivals
+	<-older.discovery.calls
+	older.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	older.waitUntil(t, "ready", func() bool { return older.adminCall(t, "GET", "/control/ready") == 200 })
+	taken := older.dialClient(t)
+	taken.send(t, older.newRequest("checkin", ""))
+	<-s.received
 	newer := process()
-	<-newer.registry.calls
+	<-newer.discovery.calls
 	newer.reload(t, append(added("parcel"), gone...)...) // before it is ready
-	newer.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	newer.until(t, "ready", func() bool { return newer.call(t, "GET", "/control/ready") == 200 })
+	newer.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	newer.waitUntil(t, "ready", func() bool { return newer.adminCall(t, "GET", "/control/ready") == 200 })
 	older.cancel() // the older one takes no more connections, and still takes its reload
 	older.reload(t, append(added("parcel"), gone...)...)
 	for range 20 {
-		c := newer.connect(t)
-		c.send(t, newer.ask("parcel", ""))
-		want(t, "on a new connection", c.answer(t).StatusCode, 200)
+		c := newer.dialClient(t)
+		c.send(t, newer.newRequest("parcel", ""))
+		want(t, "on a new connection", c.readResponse(t).StatusCode, 200)
 	}
 	close(release)
-	want(t, "taken by the older one", taken.answer(t).StatusCode, 200)
-	if err := <-older.ended; err != nil {
+	want(t, "taken by the older one", taken.readResponse(t).StatusCode, 200)
+	if err := <-older.runResult; err != nil {
 		t.Error(err)
 	}
-	older.ended <- nil
+	older.runResult <- nil
 }
 
 // A thousand reloads, each with other classes and tenants that are used in between: what is held returns to its size.
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -21,7 +21,7 @@
 )
 
 // text returns n bytes of which no two stretches are alike.
-func text(n int) []byte {
+func numberedBytes(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
 		fmt.Fprintf(&b, "%d,", i)
@@ -30,34 +30,34 @@
 }
 
 // rawServer is an upstream that answers connections as it likes, without reading requests whole first.
-func rawServer(t *testing.T, serve func(c net.Conn)) *server {
+func newRawUpstream(t *testing.T, serve func(c net.Conn)) *testUpstream {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() { defer c.Close(); serve(c) }()
 		}
 	}()
-	return &server{addr: l.Addr().String()}
+	return &testUpstream{addr: listener.Addr().String()}
 }
 
 // readHead reads a request's head and leaves its body.
-func readHead(c net.Conn) (*http.Request, error) {
+func readRequestHead(c net.Conn) (*http.Request, error) {
 	return http.ReadRequest(bufio.NewReaderSize(c, 16))
 }
 
 // echoBodies answers each request with its body, in chunks where the request asks for them.
 func echoBodies(c net.Conn) {
-	for in := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(in)
+	for reader := bufio.NewReader(c); ; {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -86,63 +86,63 @@
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
 		close(v.gate)
-		u := v.upstream(okAll)
+		u := v.upstream(respondOK)
 		u.serve = echoBodies
 		v.tell(50, u.member("s-00000001"))
 		synctest.Wait()
-		room := v.memory.available.Load()
+		memoryBefore := v.memory.available.Load()
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 			return v.meet(), nil
 		}}}
-		for _, n := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
-			for _, form := range []string{"", "1"} {
-				body := text(n)
-				q, err := http.NewRequest(http.MethodPost, "http://x/checkin", bytes.NewReader(body))
+		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
+			for _, chunked := range []string{"", "1"} {
+				body := numberedBytes(size)
+				request, err := http.NewRequest(http.MethodPost, "http://x/checkin", bytes.NewReader(body))
 				if err != nil {
 					t.Fatal(err)
 				}
-				q.Header.Set("X-Request-Id", strconv.Itoa(2*n)+form)
-				q.Header.Set("X-Class", "checkin")
-				if form != "" {
-					q.Header.Set("X-Chunks", form)
-					q.Body, q.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(body[:n/3]), bytes.NewReader(body[n/3:]))), -1
+				request.Header.Set("X-Request-Id", strconv.Itoa(2*size)+chunked)
+				request.Header.Set("X-Class", "checkin")
+				if chunked != "" {
+					request.Header.Set("X-Chunks", chunked)
+					request.Body, request.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(body[:size/3]), bytes.NewReader(body[size/3:]))), -1
 				}
-				resp, err := client.Do(q)
+				resp, err := client.Do(request)
 				if err != nil {
 					t.Fatal(err)
 				}
 				got, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
-				want(t, fmt.Sprintf("%d bytes, chunks %q: status", n, form), resp.StatusCode, 200)
+				want(t, fmt.Sprintf("%d bytes, chunks %q: status", size, chunked), resp.StatusCode, 200)
 				if err != nil || sha256.Sum256(got) != sha256.Sum256(body) {
-					t.Errorf("%d bytes, chunks %q: %d others came back, %v", n, form, len(got), err)
+					t.Errorf("%d bytes, chunks %q: %d others came back, %v", size, chunked, len(got), err)
 				}
 			}
 		}
 		synctest.Wait()
-		want(t, "what was held is given back", v.memory.available.Load(), room)
+		want(t, "what was held is given back", v.memory.available.Load(), memoryBefore)
 		client.CloseIdleConnections()
 		v.rest()
 	})
 }
 
 // In chunks too the bound holds, and nobody takes what came before it for a request.
-func TestBodyOverTheBoundInChunks(t *testing.T) {
+func TestChunkedBodyOverLimitIsRefused(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
-	c := b.connect(t)
-	io.WriteString(c, checkin("X-Request-Id: 1\r\nTransfer-Encoding: chunked\r\n"))
+	upstream := newTestUpstream(t, respondOK)
+	b := startBalancer(t, upMember("s-00000001", upstream))
+	conn := b.dialClient(t)
+	io.WriteString(conn, checkinRequest("X-Request-Id: 1\r\nTransfer-Encoding: chunked\r\n"))
 	go func() {
-		chunk := fmt.Sprintf("%x\r\n%s\r\n", 1<<20, text(1<<20))
+		chunk := fmt.Sprintf("%x\r\n%s\r\n", 1<<20, numberedBytes(1<<20))
 		for range maxBodyBytes>>20 + 1 {
-			if _, err := io.WriteString(c, chunk); err != nil {
+			if _, err := io.WriteString(conn, chunk); err != nil {
 				return
 			}
 		}
 	}()
-	want(t, "status", c.answer(t).StatusCode, 413)
-	want(t, "requests at the upstream", len(s.arrivals), 0)
+	want(t, "status", conn.readResponse(t).StatusCode, 413)
+	want(t, "requests at the upstream", len(upstream.received), 0)
 }
 
 // A client is read no faster than the upstream reads, and an upstream no faster than the client: memory does not take
@@ -150,10 +150,10 @@
 func TestBackPressure(t *testing.T) {
 	t.Parallel()
 	const size = 24 << 20
-	var given atomic.Int64
+	var downloaded atomic.Int64
 	release := make(chan struct{})
-	s := rawServer(t, func(c net.Conn) {
-		r, err := readHead(c)
+	upstream := newRawUpstream(t, func(c net.Conn) {
+		r, err := readRequestHead(c)
 		if err != nil {
 			return
 		}
@@ -162,110 +162,110 @@
 			return
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-		for piece := text(64 << 10); ; {
+		for piece := numberedBytes(64 << 10); ; {
 			n, err := c.Write(piece)
-			if given.Add(int64(n)); err != nil {
+			if downloaded.Add(int64(n)); err != nil {
 				return
 			}
 		}
 	})
-	b := newBalancer(t, up("s-00000001", s))
-	up := b.connect(t)
-	var taken atomic.Int64
-	io.WriteString(up, checkin(fmt.Sprintf("X-Request-Id: up\r\nContent-Length: %d\r\n", size)))
+	b := startBalancer(t, upMember("s-00000001", upstream))
+	uploader := b.dialClient(t)
+	var uploaded atomic.Int64
+	io.WriteString(uploader, checkinRequest(fmt.Sprintf("X-Request-Id: up\r\nContent-Length: %d\r\n", size)))
 	go func() {
-		for piece := text(64 << 10); ; {
-			n, err := up.Write(piece)
-			if taken.Add(int64(n)); err != nil {
+		for piece := numberedBytes(64 << 10); ; {
+			n, err := uploader.Write(piece)
+			if uploaded.Add(int64(n)); err != nil {
 				return
 			}
 		}
 	}()
-	down := b.connect(t)
-	down.send(t, b.ask("read", ""))
-	still := func(n *atomic.Int64) bool { // it moves no more
+	downloader := b.dialClient(t)
+	downloader.send(t, b.newRequest("read", ""))
+	stalled := func(n *atomic.Int64) bool { // it moves no more
 		before := n.Load()
 		time.Sleep(100 * time.Millisecond)
 		return before > 0 && n.Load() == before
 	}
-	for what, n := range map[string]*atomic.Int64{"upload": &taken, "download": &given} {
-		b.until(t, "the "+what+" waits", func() bool { return still(n) })
+	for direction, n := range map[string]*atomic.Int64{"upload": &uploaded, "download": &downloaded} {
+		b.waitUntil(t, "the "+direction+" waits", func() bool { return stalled(n) })
 		if n.Load() >= size*3/4 {
-			t.Errorf("%s: %d bytes were taken with nobody reading", what, n.Load())
+			t.Errorf("%s: %d bytes were taken with nobody reading", direction, n.Load())
 		}
 	}
 	close(release)
 }
 
 // The first bytes of a long answer are passed on while the rest is still to come, and the deadline no longer ends it.
-func TestAnswerPassesOnAsItComes(t *testing.T) {
+func TestResponseIsStreamed(t *testing.T) {
 	t.Parallel()
-	next := make(chan struct{})
-	for form, c := range map[string]struct{ head, first, rest string }{
+	release := make(chan struct{})
+	for framing, tt := range map[string]struct{ head, first, rest string }{
 		"length": {fmt.Sprintf("Content-Length: %d\r\n", maxBufferedBody+10), "0123456789", strings.Repeat("x", maxBufferedBody)},
 		"chunks": {"Transfer-Encoding: chunked\r\n", "a\r\n0123456789\r\n", "1\r\nx\r\n0\r\n\r\n"},
 		"end":    {"", "0123456789", "x"},
 	} {
-		s := newServer(t, func(conn net.Conn, r *http.Request) bool {
-			io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+c.head+"\r\n"+c.first)
-			<-next
-			io.WriteString(conn, c.rest)
-			return form != "end"
+		upstream := newTestUpstream(t, func(conn net.Conn, r *http.Request) bool {
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+tt.head+"\r\n"+tt.first)
+			<-release
+			io.WriteString(conn, tt.rest)
+			return framing != "end"
 		})
-		b := newBalancer(t, up("s-00000001", s))
-		l := b.connect(t)
-		l.send(t, b.ask("checkin", "", "X-Deadline-Ms", "300"))
-		resp, err := http.ReadResponse(l.in, nil)
+		b := startBalancer(t, upMember("s-00000001", upstream))
+		l := b.dialClient(t)
+		l.send(t, b.newRequest("checkin", "", "X-Deadline-Ms", "300"))
+		resp, err := http.ReadResponse(l.reader, nil)
 		if err != nil {
-			t.Fatalf("%s: %v", form, err)
+			t.Fatalf("%s: %v", framing, err)
 		}
 		got := make([]byte, 10)
 		if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != "0123456789" {
-			t.Fatalf("%s: %q, %v", form, got, err)
+			t.Fatalf("%s: %q, %v", framing, got, err)
 		}
-		b.until(t, "the deadline has passed", func() bool { return b.loopSays(func(l *loop) bool { return len(l.timers) < 2 }) })
-		next <- struct{}{}
+		b.waitUntil(t, "the deadline has passed", func() bool { return b.checkOnLoop(func(l *loop) bool { return len(l.timers) < 2 }) })
+		release <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || strings.Trim(string(rest), "x") != "" || len(rest) == 0 {
-			t.Errorf("%s: then %d bytes, %v", form, len(rest), err)
+			t.Errorf("%s: then %d bytes, %v", framing, len(rest), err)
 		}
 	}
 }
 
 // loopSays asks on the loop.
-func (b *balancer) loopSays(so func(*loop) bool) bool {
-	e := adminLoopCall{done: make(chan struct{})}
-	var yes bool
-	e.fn = func(l *loop) { yes = so(l) }
-	b.loop.adminCalls <- e
-	<-e.done
-	return yes
+func (b *testBalancer) checkOnLoop(condition func(*loop) bool) bool {
+	call := adminLoopCall{done: make(chan struct{})}
+	var result bool
+	call.fn = func(l *loop) { result = condition(l) }
+	b.loop.adminCalls <- call
+	<-call.done
+	return result
 }
 
 // An answer that breaks off is never ended as if it were whole.
-func TestBrokenAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedResponseIsNotPassedAsComplete(t *testing.T) {
 	t.Parallel()
-	for form, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBufferedBody), "chunks": "Transfer-Encoding: chunked\r\n",
+	for framing, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBufferedBody), "chunks": "Transfer-Encoding: chunked\r\n",
 		"reset": ""} {
-		s := newServer(t, func(c net.Conn, _ *http.Request) bool {
-			body := string(text(2 * maxBufferedBody))
-			if form == "chunks" {
+		upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
+			body := string(numberedBytes(2 * maxBufferedBody))
+			if framing == "chunks" {
 				body = fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n"+body)
-			if form == "reset" { // an answer that the connection's end ends
+			if framing == "reset" { // an answer that the connection's end ends
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			return false
 		})
-		b := newBalancer(t, up("s-00000001", s))
-		resp, err := b.client.Do(b.ask("checkin", ""))
+		b := startBalancer(t, upMember("s-00000001", upstream))
+		resp, err := b.client.Do(b.newRequest("checkin", ""))
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%s: passed on as whole", form)
+			t.Errorf("%s: passed on as whole", framing)
 		}
 	}
 }
@@ -273,150 +273,150 @@
 // A body that takes far longer than the deadline is served: its time starts at its last byte, also at the upstream.
 func TestSlowUploadIsServed(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
-	const pieces, budget = 12, 200 * time.Millisecond
-	for form, length := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", pieces*16<<10), "chunks": "Transfer-Encoding: chunked\r\n"} {
-		l := b.connect(t)
-		io.WriteString(l, checkin("X-Request-Id: "+form+"\r\nX-Deadline-Ms: 200\r\n"+length))
+	upstream := newTestUpstream(t, respondOK)
+	b := startBalancer(t, upMember("s-00000001", upstream))
+	const pieces, deadline = 12, 200 * time.Millisecond
+	for framing, lengthHeader := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", pieces*16<<10), "chunks": "Transfer-Encoding: chunked\r\n"} {
+		client := b.dialClient(t)
+		io.WriteString(client, checkinRequest("X-Request-Id: "+framing+"\r\nX-Deadline-Ms: 200\r\n"+lengthHeader))
 		start := time.Now()
 		for range pieces {
-			if form == "chunks" {
-				io.WriteString(l, "4000\r\n")
+			if framing == "chunks" {
+				io.WriteString(client, "4000\r\n")
 			}
-			l.Write(text(16 << 10))
-			if form == "chunks" {
-				io.WriteString(l, "\r\n")
+			client.Write(numberedBytes(16 << 10))
+			if framing == "chunks" {
+				io.WriteString(client, "\r\n")
 			}
 			time.Sleep(50 * time.Millisecond) // a slow line is what is tried
 		}
-		if form == "chunks" {
-			io.WriteString(l, "0\r\n\r\n")
+		if framing == "chunks" {
+			io.WriteString(client, "0\r\n\r\n")
 		}
-		if time.Since(start) < 2*budget {
+		if time.Since(start) < 2*deadline {
 			t.Fatal("not slow enough to tell")
 		}
-		want(t, form, l.answer(t).StatusCode, 200)
-		r := <-s.arrivals
-		body, _ := io.ReadAll(r.Body)
-		want(t, form+": bytes", len(body), pieces*16<<10)
+		want(t, framing, client.readResponse(t).StatusCode, 200)
+		forwarded := <-upstream.received
+		body, _ := io.ReadAll(forwarded.Body)
+		want(t, framing+": bytes", len(body), pieces*16<<10)
 	}
 }
 
 // A client that stops in the middle of a large body is told so, and the upstream gets no request.
-func TestUploadThatStopsIsNoRequest(t *testing.T) {
+func TestIncompleteUploadIsRefused(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
-	for form, c := range map[string]struct{ text, status string }{
-		"length": {checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) + string(text(2*maxBufferedBody)), "408"},
-		"chunks": {checkin("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, text(2*maxBufferedBody)), "408"},
-		"noise":  {checkin("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, text(2*maxBufferedBody)), "400"},
+	upstream := newTestUpstream(t, respondOK)
+	b := startBalancer(t, upMember("s-00000001", upstream))
+	for name, tt := range map[string]struct{ text, status string }{
+		"length": {checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) + string(numberedBytes(2*maxBufferedBody)), "408"},
+		"chunks": {checkinRequest("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "408"},
+		"noise":  {checkinRequest("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "400"},
 	} {
-		if got := rawClient(t, b.url, c.text); !strings.HasPrefix(got, "HTTP/1.1 "+c.status) {
-			t.Errorf("%s: got %q", form, got)
+		if got := sendRaw(t, b.url, tt.text); !strings.HasPrefix(got, "HTTP/1.1 "+tt.status) {
+			t.Errorf("%s: got %q", name, got)
 		}
 	}
-	b.until(t, "nothing is left of them", func() bool {
-		return b.loopSays(func(l *loop) bool { return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0 })
+	b.waitUntil(t, "nothing is left of them", func() bool {
+		return b.checkOnLoop(func(l *loop) bool { return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0 })
 	})
-	want(t, "requests at the upstream", len(s.arrivals), 0)
+	want(t, "requests at the upstream", len(upstream.received), 0)
 	want(t, "held", b.loop.memory.available.Load(), b.config.bodyMemory())
 }
 
 // An upstream that answers before it has the whole body: the client gets that answer and can read it, and the upstream's
 // connection serves nobody else.
-func TestEarlyAnswer(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
-	s := rawServer(t, func(c net.Conn) {
-		if _, err := readHead(c); err == nil {
+	upstream := newRawUpstream(t, func(c net.Conn) {
+		if _, err := readRequestHead(c); err == nil {
 			io.WriteString(c, "HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, c)
 			close(closed)
 		}
 	})
-	b := newBalancer(t, up("s-00000001", s))
-	l := b.connect(t)
-	io.WriteString(l, checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", maxBodyBytes)))
-	go io.Copy(l, io.LimitReader(zeros{}, 4*maxBufferedBody)) // and no more: it waits for its answer
-	resp := l.answer(t)
+	b := startBalancer(t, upMember("s-00000001", upstream))
+	client := b.dialClient(t)
+	io.WriteString(client, checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", maxBodyBytes)))
+	go io.Copy(client, io.LimitReader(zeroReader{}, 4*maxBufferedBody)) // and no more: it waits for its answer
+	resp := client.readResponse(t)
 	want(t, "status", resp.StatusCode, 503)
 	want(t, "closes", resp.Close, true)
 	<-closed
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(b []byte) (int, error) { return len(b), nil }
+func (zeroReader) Read(b []byte) (int, error) { return len(b), nil }
 
 // What is held whole goes to a second server where the first one breaks before it ran; what was partly passed on is not
 // sent twice.
-func TestOnlyWhatIsHeldIsSentAgain(t *testing.T) {
+func TestStreamedBodyIsNotRetried(t *testing.T) {
 	t.Parallel()
-	var began atomic.Int32
-	breaks := rawServer(t, func(c net.Conn) {
-		if _, err := readHead(c); err != nil {
+	var attempts atomic.Int32
+	failing := newRawUpstream(t, func(c net.Conn) {
+		if _, err := readRequestHead(c); err != nil {
 			return
 		}
-		began.Add(1)
+		attempts.Add(1)
 		io.CopyN(io.Discard, c, maxBufferedBody+maxBufferedBody/2)
 		c.(*net.TCPConn).SetLinger(0)
 	})
-	b := newBalancer(t, up("s-00000001", breaks))
+	b := startBalancer(t, upMember("s-00000001", failing))
 	const size = 16 << 20 // far over what the buffers of both sockets hold: its last byte is not written before it breaks
-	status, _ := b.do(t, b.ask("checkin", string(text(size))))
+	status, _ := b.do(t, b.newRequest("checkin", string(numberedBytes(size))))
 	want(t, "a large one", status, 503)
-	want(t, "attempts", began.Load(), int32(1))
+	want(t, "attempts", attempts.Load(), int32(1))
 }
 
 // A client that asks to go on is told to, once, and one that is refused is not.
 func TestExpectContinue(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, okAll)
-	b := newBalancer(t, up("s-00000001", s))
-	l := b.connect(t)
-	io.WriteString(l, checkin(fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBufferedBody)))
-	line, _ := l.in.ReadString('\n')
+	upstream := newTestUpstream(t, respondOK)
+	b := startBalancer(t, upMember("s-00000001", upstream))
+	client := b.dialClient(t)
+	io.WriteString(client, checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBufferedBody)))
+	line, _ := client.reader.ReadString('\n')
 	want(t, "interim", line, "HTTP/1.1 100 Continue\r\n")
-	l.in.ReadString('\n')
-	l.Write(text(2 * maxBufferedBody))
-	want(t, "status", l.answer(t).StatusCode, 200)
-	got := rawClient(t, b.url, checkin(fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxBodyBytes+1)))
+	client.reader.ReadString('\n')
+	client.Write(numberedBytes(2 * maxBufferedBody))
+	want(t, "status", client.readResponse(t).StatusCode, 200)
+	got := sendRaw(t, b.url, checkinRequest(fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxBodyBytes+1)))
 	want(t, "refused", strings.HasPrefix(got, "HTTP/1.1 413"), true)
 }
 
 // Where nothing can be held bodies pass all the same.
-func TestNoRoomToHold(t *testing.T) {
+func TestBodiesPassWithoutBufferMemory(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { return ok(c, "done") })
-	b := newBalancer(t, up("s-00000001", s))
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, "done") })
+	b := startBalancer(t, upMember("s-00000001", upstream))
 	b.loop.memory.available.Store(0)
 	for _, n := range []int{0, 10, maxBufferedBody, 2 * maxBufferedBody} {
-		status, body := b.do(t, b.ask("checkin", string(text(n))))
+		status, body := b.do(t, b.newRequest("checkin", string(numberedBytes(n))))
 		want(t, "status", status, 200)
 		want(t, "body", body, "done")
-		r := <-s.arrivals
-		sent, _ := io.ReadAll(r.Body)
-		want(t, "bytes", len(sent), n)
+		r := <-upstream.received
+		forwarded, _ := io.ReadAll(r.Body)
+		want(t, "bytes", len(forwarded), n)
 	}
 }
 
 // A reader whose body breaks off gives back what it held.
-func TestGatherGivesBackOnError(t *testing.T) {
-	h := newHolder()
-	before := h.available.Load()
-	broken := io.MultiReader(bytes.NewReader(text(5000)), errReader{})
-	if _, _, err := h.collect(broken, always); !errors.Is(err, errAmbiguousFraming) {
+func TestCollectFreesMemoryOnError(t *testing.T) {
+	memory := newBodyMemory()
+	before := memory.available.Load()
+	broken := io.MultiReader(bytes.NewReader(numberedBytes(5000)), errReader{})
+	if _, _, err := memory.collect(broken, always); !errors.Is(err, errAmbiguousFraming) {
 		t.Error(err)
 	}
-	want(t, "room", h.available.Load(), before)
-	held, whole, err := h.collect(bytes.NewReader(text(maxBufferedBody+1)), always)
-	if whole || err != nil || len(held) != maxBufferedBody {
-		t.Errorf("%d bytes held, whole %v, %v", len(held), whole, err)
+	want(t, "room", memory.available.Load(), before)
+	buffered, complete, err := memory.collect(bytes.NewReader(numberedBytes(maxBufferedBody+1)), always)
+	if complete || err != nil || len(buffered) != maxBufferedBody {
+		t.Errorf("%d bytes held, whole %v, %v", len(buffered), complete, err)
 	}
-	h.free(held)
-	want(t, "room", h.available.Load(), before)
+	memory.free(buffered)
+	want(t, "room", memory.available.Load(), before)
 }
 
 type errReader struct{}
@@ -424,15 +424,15 @@
 func (errReader) Read([]byte) (int, error) { return 0, errAmbiguousFraming }
 
 // In a crowd that takes every place a request that comes slowly is served, and who asked once and stays gives way to it.
-func TestSlowWriterOutlastsTheCrowd(t *testing.T) {
+func TestSlowClientIsServedUnderConnectionPressure(t *testing.T) {
 	t.Parallel()
-	s := newServer(t, okAll)
-	b := newBalancerWith(t, func(c *Config) { c.Sockets = 64 }, up("s-00000001", s))
-	slow := b.connect(t)
-	request := checkin("X-Request-Id: slow\r\nContent-Length: 4\r\n") + "body"
+	upstream := newTestUpstream(t, respondOK)
+	b := startBalancerWith(t, func(c *Config) { c.Sockets = 64 }, upMember("s-00000001", upstream))
+	slowClient := b.dialClient(t)
+	request := checkinRequest("X-Request-Id: slow\r\nContent-Length: 4\r\n") + "body"
 	for len(request) > 0 {
 		n := min(len(request), 10)
-		if _, err := io.WriteString(slow, request[:n]); err != nil {
+		if _, err := io.WriteString(slowClient, request[:n]); err != nil {
 			t.Fatal(err)
 		}
 		request = request[n:]
@@ -444,88 +444,88 @@
 			defer c.Close()
 			switch i % 3 {
 			case 0:
-				b.ask("read", "").Write(c)
+				b.newRequest("read", "").Write(c)
 			case 1:
 				io.WriteString(c, "POST /checkin HT")
 			}
 		}
 		time.Sleep(requestHeadTimeout / 20) // a slow line is what is tried
 	}
-	want(t, "status", slow.answer(t).StatusCode, 200)
+	want(t, "status", slowClient.readResponse(t).StatusCode, 200)
 }
 
 // Who stands still longest gives way, a mute connection before any that has begun, and never one that is served.
-func TestWhoGivesWay(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	now := time.Now()
-	f := &frontend{clients: map[*client]struct{}{}}
-	add := func(at clientStage, begun bool, since, moved time.Duration) *client {
+	front := &frontend{clients: map[*client]struct{}{}}
+	add := func(initialStage clientStage, started bool, stageAge, readAge time.Duration) *client {
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		pace := &timedConn{Conn: near}
-		pace.lastRead.Store(now.Add(-moved).UnixNano())
-		c := &client{httpConn: newHTTPConn(pace, 16), timed: pace, stage: at, requestStarted: begun, stageSince: now.Add(-since)}
-		f.clients[c] = struct{}{}
+		limitedConn := &timedConn{Conn: near}
+		limitedConn.lastRead.Store(now.Add(-readAge).UnixNano())
+		c := &client{httpConn: newHTTPConn(limitedConn, 16), timed: limitedConn, stage: initialStage, requestStarted: started, stageSince: now.Add(-stageAge)}
+		front.clients[c] = struct{}{}
 		return c
 	}
 	served := add(clientServing, true, time.Hour, time.Hour)
 	fresh := add(clientReading, false, 0, time.Hour)
-	order := []*client{
+	evictionOrder := []*client{
 		add(clientReading, false, 2*noDataEvictAfter, time.Hour),
 		add(clientIdle, false, 20*time.Second, 20*time.Second),
 		add(clientReading, true, 3*time.Second, 2*time.Second),
 		add(clientIdle, false, time.Second, time.Second),
 		add(clientReading, true, 3*time.Second, 100*time.Millisecond), // slow, and still coming
 	}
-	for i, c := range order {
-		if !f.makeRoom() || c.stage != clientEvicted {
+	for i, c := range evictionOrder {
+		if !front.makeRoom() || c.stage != clientEvicted {
 			t.Fatalf("number %d did not give way", i)
 		}
 	}
-	if f.makeRoom() || served.stage != clientServing || fresh.stage != clientReading {
+	if front.makeRoom() || served.stage != clientServing || fresh.stage != clientReading {
 		t.Error("one that is served, or that has just come, gave way")
 	}
 }
 
 // A client of an upload that is held leaves behind bytes that nobody reads before an attempt takes the body. Nothing begins
 // for it, be its connection closed or reset, also where the first attempt found no connection.
-func TestNothingBeginsOnceTheClientOfAnUnreadUploadHasGone(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
+func TestUnreadUploadOfClosedClientIsNotSent(t *testing.T) {
+	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closed": func(*net.TCPConn) {},
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0) },
 	} {
-		for _, refused := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, an attempt refused before %v", name, refused), func(t *testing.T) {
+		for _, refusedFirst := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, an attempt refused before %v", name, refusedFirst), func(t *testing.T) {
 				t.Parallel()
-				var begun atomic.Int32
-				s := rawServer(t, func(c net.Conn) {
+				var requests atomic.Int32
+				upstream := newRawUpstream(t, func(c net.Conn) {
 					if n, _ := c.Read(make([]byte, 1)); n > 0 {
-						begun.Add(1)
+						requests.Add(1)
 					}
 				})
-				var first []member
-				if refused {
+				var members []member
+				if refusedFirst {
 					l, err := net.Listen("tcp", "127.0.0.1:0")
 					if err != nil {
 						t.Fatal(err)
 					}
-					first = []member{up("s-00000002", &server{addr: l.Addr().String()})}
+					members = []member{upMember("s-00000002", &testUpstream{addr: l.Addr().String()})}
 					l.Close()
 				}
-				b := newBalancer(t, first...)
-				c := b.connect(t)
+				b := startBalancer(t, members...)
+				c := b.dialClient(t)
 				const size = maxBufferedBody + 2*bodyBufferSize
-				fmt.Fprintf(c, "%s%s", checkin(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", size)), text(size))
-				b.until(t, "the request is open", func() bool {
-					return b.loopSays(func(l *loop) bool { return len(l.openIDs) == 1 })
+				fmt.Fprintf(c, "%s%s", checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", size)), numberedBytes(size))
+				b.waitUntil(t, "the request is open", func() bool {
+					return b.checkOnLoop(func(l *loop) bool { return len(l.openIDs) == 1 })
 				})
-				leave(c.Conn.(*net.TCPConn))
+				disconnect(c.Conn.(*net.TCPConn))
 				c.Close()
-				<-b.registry.calls
-				b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: []member{up("s-00000001", s)}}
-				b.until(t, "the request has ended", func() bool {
-					return b.loopSays(func(l *loop) bool { return len(l.openIDs) == 0 })
+				<-b.discovery.calls
+				b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: []member{upMember("s-00000001", upstream)}}
+				b.waitUntil(t, "the request has ended", func() bool {
+					return b.checkOnLoop(func(l *loop) bool { return len(l.openIDs) == 0 })
 				})
-				want(t, "requests begun", int(begun.Load()), 0)
+				want(t, "requests begun", int(requests.Load()), 0)
 			})
 		}
 	}
--- a/internal/proxy/virtual_test.go
+++ b/internal/proxy/virtual_test.go
@@ -169,7 +169,7 @@
 // virtualConfig is a configuration without a list, with the settings that set leaves.
 func virtualConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
 	t.Helper()
-	c, err := load(t, configText, nil)
+	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -233,12 +233,12 @@
 	}{
 		"held": {"checkin", 0, func(v *virtual, request func()) func() {
 			close(v.gate)
-			u := v.upstream(okAll)
+			u := v.upstream(respondOK)
 			request()
 			return func() { v.tell(50, u.member("s-00000001")) }
 		}},
 		"its connection comes up late": {"checkin", 0, func(v *virtual, request func()) func() {
-			v.tell(50, v.upstream(okAll).member("s-00000001"))
+			v.tell(50, v.upstream(respondOK).member("s-00000001"))
 			request()
 			return func() { close(v.gate) }
 		}},
@@ -250,7 +250,7 @@
 					<-fail
 					return false
 				}
-				return okAll(c, r)
+				return respondOK(c, r)
 			}
 			v.tell(50, v.upstream(once).member("s-00000001"), v.upstream(once).member("s-00000002"))
 			request()
@@ -312,7 +312,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
 		close(v.gate)
-		u := v.upstream(okAll)
+		u := v.upstream(respondOK)
 		ours, theirs := memPipe(v.silent)
 		v.front.startClient(theirs)
 		go fmt.Fprintf(ours, "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nX-Class: checkin\r\nContent-Length: %d\r\n\r\n%s",
@@ -526,7 +526,7 @@
 					d := newMemDiscovery(t, silent)
 					d.each, d.down = c.each, c.down
 					ctx, stop := context.WithCancel(t.Context())
-					u := &memUpstream{address: "127.0.0.1:1", answer: okAll, silent: silent}
+					u := &memUpstream{address: "127.0.0.1:1", answer: respondOK, silent: silent}
 					var ready atomic.Int32
 					var ended, asked sync.WaitGroup
 					for rank := range balancers {
