--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -12,11 +12,13 @@
 	"garnettide"
 )
 
+// configText is a valid configuration.
 const configText = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
 "settings":` + settingsText + `}`
 
+// loadTestConfig loads a configuration from text, with the environment env.
 func loadTestConfig(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -31,6 +33,7 @@
 	})
 }
 
+// TestLoadConfig guards against wrong values from the file, and against ignoring the environment.
 func TestLoadConfig(t *testing.T) {
 	c, err := loadTestConfig(t, configText, map[string]string{"RELAY_NAME": "n4"})
 	if err != nil {
@@ -38,13 +41,14 @@
 	}
 	want(t, "name", c.Name, "n4")
 	want(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
-	want(t, "known", c.CachedList.Revision, uint64(41))
-	want(t, "keep-alive", c.ConnTimeouts.IdleTimeout, time.Minute)
+	want(t, "revision of the cached list", c.CachedList.Revision, uint64(41))
+	want(t, "idle timeout", c.ConnTimeouts.IdleTimeout, time.Minute)
 	classes, _ := c.Plan.Size()
 	want(t, "classes", classes, 3)
 }
 
-// RELAY_DISCOVERY names the address of the start. After that the file's holds.
+// TestReloadUsesDiscoveryAddressOfFile guards against a reload that keeps the address of RELAY_DISCOVERY, which applies
+// to the start only.
 func TestReloadUsesDiscoveryAddressOfFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
@@ -56,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "at the start", c.Discovery, "127.0.0.1:1")
+	want(t, "discovery at the start", c.Discovery, "127.0.0.1:1")
 	var log bytes.Buffer
 	reloader := NewReloader(getenv, c)
 	reloader.log = slog.New(slog.NewTextHandler(&log, nil))
@@ -65,14 +69,16 @@
 		t.Fatal(err)
 	}
 	want(t, "name", c.Name, "n4")
-	want(t, "what the log says of a name that still goes before the file's", log.String(), "")
-	want(t, "read again", reloaded.Discovery, "127.0.0.1:8500")
-	want(t, "bytes", reloaded.Hash, c.Hash)
+	want(t, "log output about RELAY_NAME, which still overrides the file", log.String(), "")
+	want(t, "discovery after the reload", reloaded.Discovery, "127.0.0.1:8500")
+	want(t, "hash of the file", reloaded.Hash, c.Hash)
 }
 
+// TestInvalidConfigErrors guards against accepting invalid configurations, and against errors that do not name the
+// cause.
 func TestInvalidConfigErrors(t *testing.T) {
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("no file: got %v", err)
+		t.Errorf("no file: got %v, want an error that names RELAY_CONFIG", err)
 	}
 	for _, tt := range []struct{ old, new, errText string }{
 		{`{"name"`, `"name"`, "invalid character"},
@@ -88,28 +94,30 @@
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
 		if _, err := loadTestConfig(t, strings.Replace(configText, tt.old, tt.new, 1), nil); err == nil || !strings.Contains(err.Error(), tt.errText) {
-			t.Errorf("%s: got %v, want it to name %s", tt.new, err, tt.errText)
+			t.Errorf("%s: got %v, want an error that names %s", tt.new, err, tt.errText)
 		}
 	}
 }
 
+// TestUpstreamIDs guards against wrong or shared numbers of discovery IDs.
 func TestUpstreamIDs(t *testing.T) {
 	ids := newUpstreamIDs()
-	want(t, "hex", ids.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
-	want(t, "the same again", ids.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
+	want(t, "hexadecimal ID", ids.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
+	want(t, "same ID again", ids.id("s-5be2a07c"), garnettide.UpstreamID(0x5be2a07c))
 	other := ids.id("5be2a07c.example")
-	want(t, "another form", other, hashText("5be2a07c.example"))
+	want(t, "ID of another form", other, hashText("5be2a07c.example"))
 	seen := map[garnettide.UpstreamID]string{}
-	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
+	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // the first three have equal values
 		id := ids.id(text)
 		if seen[id] != "" {
-			t.Errorf("%q and %q are mixed up", text, seen[id])
+			t.Errorf("%q and %q have the same number", text, seen[id])
 		}
 		seen[id] = text
 	}
 }
 
-// An upstream that started before this process is as cold as it is at other balancers; one of long ago is not.
+// TestUpstreamStartTimeOnLoopClock guards against computing an upstream's age from a clock other than Unix time: a
+// balancer that starts later must see the same age as the others.
 func TestUpstreamStartTimeOnLoopClock(t *testing.T) {
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
@@ -118,12 +126,13 @@
 	l := newLoop(t.Context(), &c)
 	m := member{ID: "s-1", Phase: "up", UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
 	if age := l.now() - m.upstream(1).StartedAt; age < 2900*time.Millisecond || age > 4*time.Second {
-		t.Errorf("age %v, want 3 s", age)
+		t.Errorf("got an age of %v, want about 3s", age)
 	}
 	m.UpSinceMS = 0
-	want(t, "long ago", m.upstream(1).StartedAt, time.Duration(0))
+	want(t, "start time of an old upstream", m.upstream(1).StartedAt, time.Duration(0))
 }
 
+// TestParseLoad guards against accepting malformed or implausible load reports, even in part.
 func TestParseLoad(t *testing.T) {
 	fullReport := garnettide.Load{Fields: garnettide.HasErrorRate | garnettide.HasUtil | garnettide.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
 	for _, tt := range []struct {
@@ -131,22 +140,23 @@
 		reports []string
 		want    garnettide.Load
 	}{
-		{"whole", []string{"err_ps=0.5, load_share=0.61,mean_ms=14.5,other=3"}, fullReport},
-		{"none", nil, garnettide.Load{}},
+		{"complete", []string{"err_ps=0.5, load_share=0.61,mean_ms=14.5,other=3"}, fullReport},
+		{"no report", nil, garnettide.Load{}},
 		{"empty", []string{""}, garnettide.Load{}},
-		{"half of it", []string{"load_share=0.61,mean_ms=x"}, garnettide.Load{}},
-		{"cut", []string{"load_share=0.61,mean"}, garnettide.Load{}},
-		{"two", []string{"load_share=0.61", "load_share=0.62"}, garnettide.Load{}},
-		{"a name twice", []string{"load_share=0.61,load_share=0.1"}, garnettide.Load{}},
+		{"one malformed value", []string{"load_share=0.61,mean_ms=x"}, garnettide.Load{}},
+		{"truncated", []string{"load_share=0.61,mean"}, garnettide.Load{}},
+		{"two reports", []string{"load_share=0.61", "load_share=0.62"}, garnettide.Load{}},
+		{"duplicate name", []string{"load_share=0.61,load_share=0.1"}, garnettide.Load{}},
 		{"not finite", []string{"load_share=NaN"}, garnettide.Load{}},
 		{"negative", []string{"load_share=-0.5"}, garnettide.Load{}},
-		{"more than all cores", []string{"load_share=61"}, garnettide.Load{}},
+		{"utilisation too high", []string{"load_share=61"}, garnettide.Load{}},
 	} {
 		want(t, tt.name, parseLoad(tt.reports), tt.want)
 	}
 }
 
-// With no connection left to open, an attempt could not connect: the module is told so, once, and nothing is owed.
+// TestAttemptDroppedAtConnectionLimit guards against an attempt that stays in flight, or is counted as a connection,
+// when the limit of upstream connections is reached.
 func TestAttemptDroppedAtConnectionLimit(t *testing.T) {
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
@@ -162,7 +172,7 @@
 	if len(r.attempts) == 0 {
 		t.Fatal("no attempt was made")
 	}
-	want(t, "attempts owed", r.inFlight, 0)
-	want(t, "written", r.attempts[0].stage.Load(), attemptDropped)
+	want(t, "attempts in flight", r.inFlight, 0)
+	want(t, "stage of the attempt", r.attempts[0].stage.Load(), attemptDropped)
 	want(t, "connections", l.connCount, 0)
 }
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// said is a connection on which all has been said.
+// readerConn is a connection that reads from a Reader and discards what is written.
 type readerConn struct {
 	net.Conn
 	io.Reader
@@ -21,13 +21,15 @@
 func (c readerConn) Write(b []byte) (int, error)     { return len(b), nil }
 func (c readerConn) SetReadDeadline(time.Time) error { return nil }
 
+// newBodyMemory returns 64 MB of body memory.
 func newBodyMemory() *bodyMemory {
 	m := new(bodyMemory)
 	m.available.Store(64 << 20)
 	return m
 }
 
-// FuzzAnswer reads what an upstream may say. What is taken for whole must be so for net/http too, with the same body.
+// FuzzResponse guards against accepting a response as complete that net/http rejects or reads with another status or
+// body.
 func FuzzResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
@@ -54,20 +56,20 @@
 			resp, err = http.ReadResponse(reader, nil)
 		}
 		if err != nil {
-			t.Fatalf("taken, but unreadable for others: %v", err)
+			t.Fatalf("accepted, but net/http rejects it: %v", err)
 		}
 		if resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
-			return // these have no body there
+			return // net/http reads no body for these
 		}
 		netHTTPBody, err := io.ReadAll(resp.Body)
 		if status != resp.StatusCode || err != nil || !bytes.Equal(body, netHTTPBody) {
-			t.Errorf("got %d, %q; others read %d, %q, %v", status, body, resp.StatusCode, netHTTPBody, err)
+			t.Errorf("got %d, %q; net/http reads %d, %q, error %v", status, body, resp.StatusCode, netHTTPBody, err)
 		}
 	})
 }
 
-// FuzzRequest reads what a client may send. What is passed on must be one request for the upstream, with nothing behind
-// it, and the same as the client's.
+// FuzzRequest guards against request smuggling: what is forwarded must be exactly one request for net/http, with the
+// client's method, target, ID and body.
 func FuzzRequest(f *testing.F) {
 	const id = "X-Request-Id: 1\r\n"
 	for _, text := range []string{
@@ -93,21 +95,21 @@
 			return
 		}
 		if req.Budget < 0 || req.Budget > time.Second {
-			t.Errorf("budget %v", req.Budget)
+			t.Errorf("got a budget of %v, want 0 to 1s", req.Budget)
 		}
 		head, tail := req.message.bytes(time.Second)
 		forwarded := append(head, tail...)
 		reader := bufio.NewReader(bytes.NewReader(forwarded))
 		parsed, err := http.ReadRequest(reader)
 		if err != nil {
-			t.Fatalf("the upstream can't read %q: %v", forwarded, err)
+			t.Fatalf("net/http rejects the forwarded request %q: %v", forwarded, err)
 		}
 		body, err := io.ReadAll(parsed.Body)
 		if err != nil || !bytes.Equal(body, req.message.body) || reader.Buffered() > 0 || len(parsed.TransferEncoding) > 0 {
-			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more", forwarded, body, err, reader.Buffered())
+			t.Errorf("forwarded %q, of which net/http reads the body %q, error %v, %d bytes left", forwarded, body, err, reader.Buffered())
 		}
 		if parsed.Header.Get("X-Request-Id") != req.clientRequestID || !strings.HasPrefix(req.message.methodAndTarget, parsed.Method+" "+parsed.RequestURI) {
-			t.Errorf("passed on %q", forwarded)
+			t.Errorf("forwarded %q, with another ID, method or target", forwarded)
 		}
 	})
 }
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// newOperated is a balancer with an admin listener. discovery has told its list once.
+// startBalancerWithAdmin starts a balancer with an admin listener, and returns once it is ready with the list from
+// discovery.
 func startBalancerWithAdmin(t *testing.T, members ...member) *testBalancer {
 	t.Helper()
 	adminAddress, stateDir := freeAddress(t), t.TempDir()
@@ -21,7 +22,7 @@
 	return b
 }
 
-// freeAddress returns an address on which nothing listens, on an IP that no other test takes ports of.
+// freeAddress returns an address on which nothing listens, on an IP address that no other test uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.77.0.1:0")
@@ -32,23 +33,24 @@
 	return l.Addr().String()
 }
 
-// until waits for something that is bound to happen.
+// waitUntil waits until condition is true, and fails the test after 10 s. what describes the condition.
 func (b *testBalancer) waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("never: " + what)
+			t.Fatal("condition not reached within 10s: " + what)
 		}
 	}
 }
 
-// call makes an operator's call and returns its status; 0: no connection.
+// adminCall makes a call to the admin listener and returns its status, or 0 if there is no response.
 func (b *testBalancer) adminCall(t *testing.T, method, path string) int {
 	t.Helper()
 	return b.rawAdminCall(t, method+" "+path+" HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
-// say sends a text to the admin listener and returns the status of the answer, behind which the connection has to end.
+// rawAdminCall sends text to the admin listener and returns the status of the response, or 0 if there is none. It
+// fails the test if bytes follow the response.
 func (b *testBalancer) rawAdminCall(t *testing.T, text string) int {
 	t.Helper()
 	c, err := net.Dial("tcp", b.config.Operator)
@@ -57,19 +59,21 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
-	io.WriteString(c, text) // the admin listener may have answered and closed before the end of a bad call
-	in := bufio.NewReader(c)
-	resp, err := http.ReadResponse(in, nil)
+	io.WriteString(c, text) // the listener may respond to an invalid call and close before the text is sent
+	reader := bufio.NewReader(c)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return 0
 	}
 	io.Copy(io.Discard, resp.Body)
-	if _, err := in.ReadByte(); err == nil {
-		t.Errorf("%.40q: bytes behind the answer", text)
+	if _, err := reader.ReadByte(); err == nil {
+		t.Errorf("%.40q: got bytes after the response, want none", text)
 	}
 	return resp.StatusCode
 }
 
+// TestAdminListenerRejectsInvalidCalls guards against accepting calls with a wrong path, method or format, and against
+// such calls changing the balancer's state.
 func TestAdminListenerRejectsInvalidCalls(t *testing.T) {
 	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
 	for text, status := range map[string]int{
@@ -94,10 +98,11 @@
 	} {
 		want(t, fmt.Sprintf("%.60q", text), b.rawAdminCall(t, text), status)
 	}
-	want(t, "health after all that", b.healthStatus(t), 200)
+	want(t, "health after the invalid calls", b.healthStatus(t), 200)
 }
 
-// Callers who say nothing take every place at the admin listener, and more: a call still has its answer at once.
+// TestUnfinishedAdminCallsDelayNoOthers guards against unfinished calls that use up the admin listener's connections
+// and delay other calls.
 func TestUnfinishedAdminCallsDelayNoOthers(t *testing.T) {
 	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
 	var silent []net.Conn
@@ -113,22 +118,22 @@
 		silent = append(silent, c)
 	}
 	start := time.Now()
-	want(t, "ready, beside callers who say nothing", b.adminCall(t, "GET", "/control/ready"), 200)
+	want(t, "ready, with unfinished calls open", b.adminCall(t, "GET", "/control/ready"), 200)
 	if took := time.Since(start); took > adminCallTimeout/2 {
-		t.Errorf("the call took %v", took)
+		t.Errorf("the call took %v, want at most half of adminCallTimeout", took)
 	}
 	for _, c := range silent {
 		c.SetReadDeadline(time.Now().Add(4 * time.Second))
-		if _, err := io.Copy(io.Discard, c); err != nil { // it may be told why
+		if _, err := io.Copy(io.Discard, c); err != nil { // a response may come before the close
 			if e, ok := err.(net.Error); ok && e.Timeout() {
-				t.Error("an unfinished call is kept")
+				t.Error("the connection of an unfinished call is still open")
 			}
 		}
 	}
-	want(t, "health", b.healthStatus(t), 200)
+	want(t, "health after the unfinished calls", b.healthStatus(t), 200)
 }
 
-// health asks the clients' address on a connection of its own.
+// healthStatus returns the status of /healthz, called on a new connection to the clients' address.
 func (b *testBalancer) healthStatus(t *testing.T) int {
 	t.Helper()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -140,18 +145,20 @@
 	return resp.StatusCode
 }
 
+// TestReadyRequiresDiscoveryList guards against a balancer that becomes ready without any upstreams.
 func TestReadyRequiresDiscoveryList(t *testing.T) {
 	b := startBalancerWith(t, func(c *Config) { c.Operator = "127.0.0.1:0" })
-	cfg := b.config // the listing held from before is empty: nothing can be served by it
+	cfg := b.config // its cached list is empty, so it cannot serve requests
 	l := newLoop(t.Context(), &cfg)
-	want(t, "at first", l.missing() != "", true)
+	want(t, "not ready at the start", l.missing() != "", true)
 	l.clockBase -= 2 * initialListTimeout
-	want(t, "with no list at all", l.missing() != "", true)
+	want(t, "not ready after initialListTimeout", l.missing() != "", true)
 	l.listReceived = true
-	want(t, "once told", l.missing(), "")
+	want(t, "missing after the list", l.missing(), "")
 }
 
-// A drained balancer says so, serves what still comes and closes behind it, keeps no idle connection, and comes back.
+// TestDrainServesRequestsAndClosesConnections guards against a drain that fails requests, passes health checks, keeps
+// connections open or can't be ended.
 func TestDrainServesRequestsAndClosesConnections(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
@@ -163,7 +170,7 @@
 	b := startBalancerWithAdmin(t, upMember("s-00000001", upstream))
 	idle := b.dialClient(t)
 	idle.send(t, b.newRequest("read", ""))
-	want(t, "before the drain", idle.readResponse(t).Close, false)
+	want(t, "connection closes before the drain", idle.readResponse(t).Close, false)
 	working := b.dialClient(t)
 	working.send(t, b.newRequest("checkin", "x"))
 	<-upstream.received
@@ -171,39 +178,40 @@
 	unused := b.dialClient(t)
 	start := time.Now()
 	want(t, "drain", b.adminCall(t, "PUT", "/control/out-of-service"), 200)
-	want(t, "again", b.adminCall(t, "PUT", "/control/out-of-service"), 200)
-	want(t, "health", b.healthStatus(t), 503)
+	want(t, "drain again", b.adminCall(t, "PUT", "/control/out-of-service"), 200)
+	want(t, "health during the drain", b.healthStatus(t), 503)
 	late := b.dialClient(t)
 	late.send(t, b.newRequest("read", ""))
 	resp := late.readResponse(t)
-	want(t, "served in the drain", resp.StatusCode, 200)
-	want(t, "closes behind it", resp.Close, true)
+	want(t, "status during the drain", resp.StatusCode, 200)
+	want(t, "connection closes after the response", resp.Close, true)
 	for _, c := range []*testClientConn{idle, unused} {
 		if _, err := c.reader.ReadByte(); err != io.EOF {
-			t.Errorf("a connection that holds nothing: %v", err)
+			t.Errorf("connection without a request: got %v, want EOF", err)
 		}
 	}
 	if took := time.Since(start); took < acceptGracePeriod || took > 4*time.Second {
-		t.Errorf("connections that hold nothing were closed after %v", took)
+		t.Errorf("connections without a request were closed after %v, want between acceptGracePeriod and 4s", took)
 	}
 	close(release)
 	resp = working.readResponse(t)
-	want(t, "taken before the drain", resp.StatusCode, 200)
-	want(t, "closes behind it", resp.Close, true)
-	want(t, "back", b.adminCall(t, "PUT", "/control/in-service"), 200)
-	want(t, "back again", b.adminCall(t, "PUT", "/control/in-service"), 200)
+	want(t, "status of a request from before the drain", resp.StatusCode, 200)
+	want(t, "connection closes after the response", resp.Close, true)
+	want(t, "in service", b.adminCall(t, "PUT", "/control/in-service"), 200)
+	want(t, "in service again", b.adminCall(t, "PUT", "/control/in-service"), 200)
 	want(t, "health after the drain", b.healthStatus(t), 200)
 	after := b.dialClient(t)
 	after.send(t, b.newRequest("read", ""))
-	want(t, "kept after the drain", after.readResponse(t).Close, false)
+	want(t, "connection closes after the drain has ended", after.readResponse(t).Close, false)
 }
 
-// link is a client's connection, written and read by hand.
+// testClientConn is a client's connection that a test writes and reads itself.
 type testClientConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
+// dialClient opens a client connection to the balancer, with a deadline of 20 s.
 func (b *testBalancer) dialClient(t *testing.T) *testClientConn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
@@ -222,7 +230,7 @@
 	}
 }
 
-// answer reads an answer whole.
+// readResponse reads a whole response.
 func (c *testClientConn) readResponse(t *testing.T) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
@@ -235,8 +243,8 @@
 	return resp
 }
 
-// An upstream that operators take out gets nothing more, on kept connections neither, whatever discovery says, until one
-// call back. With none left a request is refused at once.
+// TestUpstreamMaintenance guards against sending requests to an upstream in maintenance, also after discovery has
+// listed it anew. With no upstream left, requests must be refused at once.
 func TestUpstreamMaintenance(t *testing.T) {
 	ids := []string{"s-00000001", "odd/id %"}
 	var upstreams [2]*testUpstream
@@ -258,25 +266,25 @@
 		return got
 	}
 	if got := sendReads(20); got[ids[0]] == 0 || got[ids[1]] == 0 {
-		t.Fatalf("at first: %v", got)
+		t.Fatalf("before maintenance: got responses %v, want some from both upstreams", got)
 	}
 	oddPath := "/control/upstreams/odd%2Fid%20%25/"
-	want(t, "out", b.adminCall(t, "PUT", oddPath+"offline"), 200)
-	want(t, "out again", b.adminCall(t, "PUT", oddPath+"offline"), 200)
-	want(t, "left out", sendReads(20)[ids[1]], 0)
+	want(t, "offline", b.adminCall(t, "PUT", oddPath+"offline"), 200)
+	want(t, "offline again", b.adminCall(t, "PUT", oddPath+"offline"), 200)
+	want(t, "requests at the offline upstream", sendReads(20)[ids[1]], 0)
 	b.discovery.responses <- discoveryList{Revision: 12, Complete: true, Members: members[:1]}
 	b.discovery.responses <- discoveryList{Revision: 13, Complete: true, Members: members}
-	b.discovery.responses <- discoveryList{Revision: 14} // it has heard of 13 when it asks again
-	want(t, "left out, gone and listed again", sendReads(20)[ids[1]], 0)
-	want(t, "out, all of them", b.adminCall(t, "PUT", "/control/upstreams/s-00000001/offline"), 200)
+	b.discovery.responses <- discoveryList{Revision: 14} // this is received only after revision 13 has been posted
+	want(t, "requests at the offline upstream after it was removed and listed again", sendReads(20)[ids[1]], 0)
+	want(t, "offline, last upstream", b.adminCall(t, "PUT", "/control/upstreams/s-00000001/offline"), 200)
 	start := time.Now()
-	want(t, "with none left", sendReads(1)["503"], 1)
+	want(t, "refusals with no upstream left", sendReads(1)["503"], 1)
 	if took := time.Since(start); took > time.Second {
-		t.Errorf("refused after %v", took)
+		t.Errorf("refused after %v, want at most 1s", took)
 	}
-	want(t, "back", b.adminCall(t, "PUT", oddPath+"online"), 200)
-	want(t, "back", sendReads(1)[ids[1]], 1)
-	want(t, "back again", b.adminCall(t, "PUT", oddPath+"online"), 200)
-	want(t, "back, all", b.adminCall(t, "PUT", "/control/upstreams/s-00000001/online"), 200)
-	want(t, "back, all", sendReads(20)["503"], 0)
+	want(t, "online", b.adminCall(t, "PUT", oddPath+"online"), 200)
+	want(t, "requests at the upstream back online", sendReads(1)[ids[1]], 1)
+	want(t, "online again", b.adminCall(t, "PUT", oddPath+"online"), 200)
+	want(t, "online, all upstreams", b.adminCall(t, "PUT", "/control/upstreams/s-00000001/online"), 200)
+	want(t, "refusals with all upstreams online", sendReads(20)["503"], 0)
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,7 +23,8 @@
 	"garnettide"
 )
 
-// settingsText has a class of each kind. Discovery is asked again at once after a failure.
+// settingsText is a settings object with a class of each kind of idempotency. With it discovery is called again soon
+// after a failed call.
 const settingsText = `{"az":"z1","balancers":1,"granularity_us":1000,"membership_mode":"on_request","weights":"nominal",
 "worth_by":"work","limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":500000,"keepalive_us":60000000},
 "obligations":{"ask_within_us":320000,"cold_from":0.3,"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},
@@ -32,15 +33,16 @@
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}`
 
-// server is an upstream whose answers a test writes byte by byte.
+// testUpstream is an upstream whose responses a test writes byte by byte.
 type testUpstream struct {
 	addr      string
-	received  chan *http.Request // each request whose last byte has come, with its body read
+	received  chan *http.Request // each request once it is complete, with its body read
 	mu        sync.Mutex
-	connCount int
+	connCount int // connections accepted
 }
 
-// newServer starts an upstream. answer writes what it likes; false closes the connection.
+// newTestUpstream starts an upstream. respond writes the response to a request, which need not be valid HTTP, and
+// returns false to close the connection.
 func newTestUpstream(t *testing.T, respond func(c net.Conn, r *http.Request) bool) *testUpstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,6 +66,7 @@
 	return u
 }
 
+// serveConn reads requests from a connection and passes each to respond.
 func (u *testUpstream) serveConn(c net.Conn, respond func(net.Conn, *http.Request) bool) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
@@ -84,26 +87,30 @@
 	}
 }
 
+// connsOpened returns the number of connections accepted so far.
 func (u *testUpstream) connsOpened() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.connCount
 }
 
+// writeOK writes a 200 response with a body and reports whether that succeeded.
 func writeOK(c net.Conn, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
+// respondOK responds to every request with 200 and the body "done".
 func respondOK(c net.Conn, _ *http.Request) bool { return writeOK(c, "done") }
 
-// registry is a discovery service. Each answer of a call is what the test puts into answers; calls are told.
+// manualDiscovery is a discovery server whose test supplies the response to each call.
 type manualDiscovery struct {
 	addr      string
-	calls     chan string // the query of each call
-	responses chan discoveryList
+	calls     chan string        // the query of each call, sent when it arrives
+	responses chan discoveryList // one response each; a list with revision 0 becomes a 503
 }
 
+// newManualDiscovery starts a discovery server, which ends with the test.
 func newManualDiscovery(t *testing.T) *manualDiscovery {
 	d := &manualDiscovery{calls: make(chan string, 1000), responses: make(chan discoveryList)}
 	stop := make(chan struct{})
@@ -125,36 +132,39 @@
 	return d
 }
 
-// since is a call's query without its wait, which is drawn.
+// withoutTimeout returns a watch call's query without its timeout_ms, which is random.
 func withoutTimeout(query string) string {
 	query, _, _ = strings.Cut(query, "&timeout_ms=")
 	return query
 }
 
+// upMember returns the list entry of an active upstream.
 func upMember(id string, s *testUpstream) member {
 	return member{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
 }
 
+// drainingMember returns m as a draining upstream.
 func drainingMember(m member) member { m.Phase = "draining"; return m }
 
-// balancer is a running balancer.
+// testBalancer is a balancer that runs in the test's process.
 type testBalancer struct {
 	url       string
 	discovery *manualDiscovery
 	cancel    context.CancelFunc
-	runResult chan error
+	runResult chan error // the result of run
 	config    Config
 	reloads   chan Reload
-	client    *http.Client
+	client    *http.Client // reuses connections
 	loop      *loop
 }
 
+// startBalancer starts a balancer with the given cached list of upstreams. It is stopped when the test ends.
 func startBalancer(t *testing.T, members ...member) *testBalancer {
 	t.Helper()
 	return startBalancerWith(t, func(*Config) {}, members...)
 }
 
-// newBalancerWith starts a balancer of a configuration that set has changed.
+// startBalancerWith is like startBalancer, with a configuration that modify has changed.
 func startBalancerWith(t *testing.T, modify func(*Config), members ...member) *testBalancer {
 	t.Helper()
 	d := newManualDiscovery(t)
@@ -165,7 +175,8 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &testBalancer{url: "http://" + l.Addr().String(), discovery: d, cancel: cancel, runResult: make(chan error, 1), config: c, reloads: make(chan Reload),
+	b := &testBalancer{url: "http://" + l.Addr().String(), discovery: d, cancel: cancel,
+		runResult: make(chan error, 1), config: c, reloads: make(chan Reload),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
 	loops := make(chan *loop, 1)
 	go func() { b.runResult <- run(ctx, c, l, b.reloads, func(l *loop) { loops <- l }) }()
@@ -181,9 +192,10 @@
 	return b
 }
 
+// lastRequestID numbers the requests of newRequest.
 var lastRequestID atomic.Int64
 
-// ask returns a well-formed request of a class.
+// newRequest returns a valid request of a class. headers are names and values in turn.
 func (b *testBalancer) newRequest(class, body string, headers ...string) *http.Request {
 	id := lastRequestID.Add(1)
 	method := http.MethodPost
@@ -206,7 +218,7 @@
 	return r
 }
 
-// do sends a request and returns the answer whole.
+// do sends a request and returns the status and the body of the response.
 func (b *testBalancer) do(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
 	resp, err := b.client.Do(r)
@@ -221,6 +233,7 @@
 	return resp.StatusCode, string(body)
 }
 
+// want fails the test if got differs from want. what names the value.
 func want(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
@@ -228,15 +241,17 @@
 	}
 }
 
+// TestForwardsRequestsAndResponsesUnchanged guards against changes to what is forwarded, apart from hop-by-hop fields
+// and X-Deadline-Ms.
 func TestForwardsRequestsAndResponsesUnchanged(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	for _, class := range []string{"pay", "checkin"} {
-		time.Sleep(2 * connReuseDelay) // or the second one would not use the connection again
+		time.Sleep(2 * connReuseDelay) // otherwise the second request would not reuse the connection
 		sent := b.newRequest(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
 		status, body := b.do(t, sent)
 		want(t, "status", status, 200)
-		want(t, "answer", body, "done")
+		want(t, "response body", body, "done")
 		forwarded := <-upstream.received
 		text, _ := io.ReadAll(forwarded.Body)
 		want(t, "body", string(text), "body")
@@ -247,20 +262,20 @@
 		}
 		want(t, "X-Hop", forwarded.Header.Get("X-Hop"), "")
 		if ms, err := strconv.Atoi(forwarded.Header.Get("X-Deadline-Ms")); err != nil || ms <= 0 || ms >= 4000 {
-			t.Errorf("X-Deadline-Ms: got %q, want under the client's", forwarded.Header.Get("X-Deadline-Ms"))
+			t.Errorf("X-Deadline-Ms: got %q, want a positive number below the client's", forwarded.Header.Get("X-Deadline-Ms"))
 		}
 	}
-	want(t, "connections", upstream.connsOpened(), 1)
+	want(t, "connections opened", upstream.connsOpened(), 1)
 }
 
-// http.Transport writes a GET or a keyed request again by itself when a kept connection breaks. What has been
-// written once must not be written again by anything but the module, and an unsafe request never.
+// TestAttemptIsWrittenOnce guards against the transport resending a request when a reused connection breaks, as
+// http.Transport does for some requests. Only the Balancer may decide to retry.
 func TestAttemptIsWrittenOnce(t *testing.T) {
 	for _, class := range []string{"checkin", "pay"} {
 		t.Run(class, func(t *testing.T) {
 			served := 0
 			server := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
-				served++ // one connection at a time
+				served++ // there is only one connection at a time
 				return served == 1 && respondOK(c, r)
 			})
 			u := &upstream{address: server.addr}
@@ -274,17 +289,18 @@
 				return transport.run(&attempt{req: &request{}, upstream: u, address: server.addr, conn: c, message: &m, responseTimeout: time.Second})
 			}
 			first := send(nil)
-			want(t, "first", first.status, garnettide.OK)
-			want(t, "second", send(first.conn).status, garnettide.Reset)
+			want(t, "first attempt", first.status, garnettide.OK)
+			want(t, "second attempt", send(first.conn).status, garnettide.Reset)
 			want(t, "requests written", len(server.received), 2)
-			want(t, "connections", server.connsOpened(), 1)
+			want(t, "connections opened", server.connsOpened(), 1)
 		})
 	}
 }
 
-// A client that has left before its request is read, or before the loop hears of it, is sent on nothing for.
+// TestNothingIsSentForDisconnectedClient guards against forwarding a request whose client disconnected before the
+// request was read or before the loop handled the disconnect.
 func TestNothingIsSentForDisconnectedClient(t *testing.T) {
-	t.Run("before it is read", func(t *testing.T) {
+	t.Run("before the request is read", func(t *testing.T) {
 		c, err := loadTestConfig(t, configText, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -307,10 +323,10 @@
 		}
 		front.startClient(accepted)
 		front.clientsDone.Wait()
-		want(t, "requests handed on", len(h.events), 0)
-		want(t, "room given back", h.memory.available.Load(), c.bodyMemory())
+		want(t, "events posted to the loop", len(h.events), 0)
+		want(t, "free body memory", h.memory.available.Load(), c.bodyMemory())
 	})
-	t.Run("before the loop hears of it", func(t *testing.T) {
+	t.Run("before the loop handles the disconnect", func(t *testing.T) {
 		upstream := newTestUpstream(t, respondOK)
 		h := newHand(t)
 		connecting, release := h.lateConns()
@@ -324,11 +340,12 @@
 	})
 }
 
-// A connection that the upstream closed while it idled is seen before anything is written to it.
+// TestStaleIdleConnectionIsNotReused guards against writing a request to a connection that the upstream closed while it
+// was idle.
 func TestStaleIdleConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 2)
-	server := newTestUpstream(t, func(c net.Conn, first *http.Request) bool {
-		respondOK(c, first)
+	server := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		respondOK(c, r)
 		c.Close()
 		closed <- struct{}{}
 		return false
@@ -342,16 +359,18 @@
 		m := message{methodAndTarget: "POST /x", host: "x"}
 		return transport.run(&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, conn: c, message: &m, responseTimeout: time.Second})
 	}
-	first := run(c)
-	want(t, "first", first.status, garnettide.OK)
+	r := run(c)
+	want(t, "first attempt", r.status, garnettide.OK)
 	<-closed
-	if _, err := first.conn.reader.Peek(1); err == nil { // the end has come
-		t.Fatal("bytes on an idle connection")
+	if _, err := r.conn.reader.Peek(1); err == nil { // waits for the close to arrive
+		t.Fatal("got bytes on an idle connection, want none")
 	}
-	want(t, "second", run(first.conn).status, garnettide.OK)
-	want(t, "connections", server.connsOpened(), 2)
+	want(t, "second attempt", run(r.conn).status, garnettide.OK)
+	want(t, "connections opened", server.connsOpened(), 2)
 }
 
+// TestAttemptResultForResponse guards against wrong outcomes of attempts, and against reusing a connection after a
+// response that leaves its state unclear.
 func TestAttemptResultForResponse(t *testing.T) {
 	raw := func(text string, keep bool) func(net.Conn, *http.Request) bool {
 		return func(c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return keep }
@@ -362,47 +381,47 @@
 		status   any
 		reusable bool
 	}{
-		{"served", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), garnettide.OK, true},
-		{"served in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.OK, true},
-		{"served, then closed", raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", false), garnettide.OK, false},
-		{"served after a 1xx", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.OK, true},
-		{"a second copy behind it", raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), garnettide.OK, false},
-		{"noise behind it", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab?", true), garnettide.OK, false},
-		{"1xx without end", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1), true), garnettide.Error, false},
-		{"101", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"a head without end", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
-		{"a line without end", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHeadBytes), true), garnettide.Error, false},
-		{"ended by the connection's end", raw("HTTP/1.1 200 OK\r\n\r\nab", false), garnettide.OK, false},
-		{"no body for 204", raw("HTTP/1.1 204 No Content\r\n\r\n", true), garnettide.Error, true},
-		{"a trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true), garnettide.OK, true},
-		{"a trailer without end", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
-		{"cut short in the trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false), garnettide.Reset, false},
-		{"both framings", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.Error, false},
-		{"two lengths", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"a negative length", raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab", true), garnettide.Error, false},
-		{"noise for a chunk", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n", true), garnettide.Error, false},
-		{"a status that is none", raw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"a field without a colon", raw("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"a blank in a field's name", raw("HTTP/1.1 200 OK\r\nContent-Length : 3\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"3 GB", raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), garnettide.Error, false},
-		{"error", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
-		{"503 that may have run", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
-		{"503 not run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
-		{"504 not run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
-		{"502 not run is not in the table", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
-		{"closed without an answer", raw("", false), garnettide.Reset, false},
-		{"cut short", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), garnettide.Reset, false},
-		{"cut short in chunks", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), garnettide.Reset, false},
-		{"no HTTP", raw("what?\r\n\r\n", false), garnettide.Error, false},
-		{"over the bound", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1), true), garnettide.Error, false},
-		{"an error of many bytes", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), garnettide.Error, false},
+		{"complete", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), garnettide.OK, true},
+		{"complete, chunked", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.OK, true},
+		{"complete, Connection: close", raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", false), garnettide.OK, false},
+		{"complete after an interim response", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.OK, true},
+		{"followed by a duplicate response", raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), garnettide.OK, false},
+		{"followed by extra bytes", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab?", true), garnettide.OK, false},
+		{"too many interim responses", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1), true), garnettide.Error, false},
+		{"protocol switch", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"header too long", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
+		{"header line too long", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHeadBytes), true), garnettide.Error, false},
+		{"body ends with the connection", raw("HTTP/1.1 200 OK\r\n\r\nab", false), garnettide.OK, false},
+		{"204 without a body", raw("HTTP/1.1 204 No Content\r\n\r\n", true), garnettide.Error, true},
+		{"with a trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true), garnettide.OK, true},
+		{"trailer too long", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
+		{"truncated in the trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false), garnettide.Reset, false},
+		{"Content-Length and Transfer-Encoding", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.Error, false},
+		{"two Content-Length fields", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"negative Content-Length", raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab", true), garnettide.Error, false},
+		{"malformed chunk size", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n", true), garnettide.Error, false},
+		{"malformed status code", raw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"header field without a colon", raw("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"space in a header field's name", raw("HTTP/1.1 200 OK\r\nContent-Length : 3\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"Content-Length of 3 GB", raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), garnettide.Error, false},
+		{"status 500", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"503 that may have been executed", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"503 with X-Not-Run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
+		{"504 with X-Not-Run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
+		{"502 with X-Not-Run may have been executed", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"closed without a response", raw("", false), garnettide.Reset, false},
+		{"truncated", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), garnettide.Reset, false},
+		{"truncated, chunked", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), garnettide.Reset, false},
+		{"not HTTP", raw("what?\r\n\r\n", false), garnettide.Error, false},
+		{"Content-Length over the size limit", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1), true), garnettide.Error, false},
+		{"error response too long to buffer", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), garnettide.Error, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := newTestUpstream(t, c.respond)
 			m := message{methodAndTarget: "POST /x", host: "x", body: []byte("b")}
 			result := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newBodyMemory()}.run(&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, message: &m, responseTimeout: time.Second})
 			want(t, "status", any(result.status), c.status)
-			want(t, "kept", result.conn != nil, c.reusable)
+			want(t, "connection reusable", result.conn != nil, c.reusable)
 			if c.status == garnettide.OK {
 				want(t, "body", string(result.body), "ab")
 			}
@@ -410,7 +429,7 @@
 	}
 }
 
-// readConn is a connection that tells of each read before it waits for bytes.
+// readSignalConn is a connection that sends to reads before each read.
 type readSignalConn struct {
 	net.Conn
 	reads chan struct{}
@@ -425,14 +444,14 @@
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// A reset is no end of an answer that has no length, also where it comes while nothing but the next bytes is awaited:
-// the system tells of it once, and what is read behind it looks like an end.
+// TestResetDoesNotCompleteResponseWithoutLength guards against taking a reset for the end of a response without a
+// length. The kernel reports a reset only once, and later reads return io.EOF.
 func TestResetDoesNotCompleteResponseWithoutLength(t *testing.T) {
 	reads := make(chan struct{}, 10)
 	server := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nab")
-		<-reads // the one that takes these bytes
-		<-reads // and the one that waits for more
+		<-reads // the read that returns these bytes
+		<-reads // the read that waits for more
 		c.(*net.TCPConn).SetLinger(0)
 		return false
 	})
@@ -447,6 +466,8 @@
 	want(t, "body", string(result.body), "")
 }
 
+// TestFailedConnectAndDroppedAttemptWriteNothing guards against writing a request after its connection failed or its
+// attempt was dropped.
 func TestFailedConnectAndDroppedAttemptWriteNothing(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -454,19 +475,21 @@
 	}
 	listener.Close()
 	transport := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newBodyMemory()}
-	want(t, "refused", transport.run(&attempt{address: listener.Addr().String()}).status, garnettide.ConnectFailed)
+	want(t, "status without a listener", transport.run(&attempt{address: listener.Addr().String()}).status, garnettide.ConnectFailed)
 
-	// What waits for its connection when its request ends or its upstream leaves is not sent any more.
+	// An attempt is dropped if its request ends, or its upstream is drained or removed, while its connection is being
+	// opened.
 	server := newTestUpstream(t, respondOK)
 	a := &attempt{req: &request{}, address: server.addr, message: &message{methodAndTarget: "POST /x", host: "x"}, responseTimeout: time.Second}
 	want(t, "dropped", a.drop(), true)
 	result := transport.run(a)
 	want(t, "status", result.status, garnettide.NotSent)
-	want(t, "still of use", result.conn != nil && result.conn.checkIdle() == nil, true)
+	want(t, "connection reusable", result.conn != nil && result.conn.checkIdle() == nil, true)
 	want(t, "requests written", len(server.received), 0)
 }
 
-// A refused connection proves that the request never ran: it goes elsewhere.
+// TestRetriesElsewhereAfterRefusedConnection guards against failing a request because its connection was refused. It
+// was not executed, so it can be sent to another upstream.
 func TestRetriesElsewhereAfterRefusedConnection(t *testing.T) {
 	refusing, serving := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -482,6 +505,8 @@
 	}
 }
 
+// TestInvalidRequestsAreNotForwarded guards against forwarding requests that do not fit their class or exceed the size
+// limit.
 func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
@@ -502,10 +527,10 @@
 		{"unknown class", b.newRequest("checkin", "", "X-Class", "nope"), 400},
 		{"path of another class", b.newRequest("checkin", "", "X-Class", "read"), 400},
 		{"no id", noID, 400},
-		{"method of another kind", wrongMethod, 400},
-		{"key on an unsafe class", b.newRequest("checkin", "", "Idempotency-Key", "1"), 400},
-		{"keyed without a key", noKey, 400},
-		{"GET with a body in chunks", chunkedGet, 400},
+		{"method of another class", wrongMethod, 400},
+		{"key on a non-idempotent class", b.newRequest("checkin", "", "Idempotency-Key", "1"), 400},
+		{"missing key", noKey, 400},
+		{"GET with a chunked body", chunkedGet, 400},
 	} {
 		status, _ := b.do(t, tt.request)
 		want(t, tt.name, status, tt.status)
@@ -517,7 +542,7 @@
 	want(t, "requests at the upstream", len(upstream.received), 0)
 }
 
-// rawClient sends text on a connection of its own, and returns all that comes back until it is closed.
+// sendRaw sends text on a new connection and returns everything received until the connection is closed.
 func sendRaw(t *testing.T, url, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -526,60 +551,62 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	go io.WriteString(c, text) // it may be closed before all is written
+	go io.WriteString(c, text) // the balancer may close before all of it is written
 	got, err := io.ReadAll(c)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
-		t.Error("neither an answer nor a close")
+		t.Error("got neither a response nor a close")
 	}
 	return string(got)
 }
 
-// checkin is a request as text, with fields put in.
+// checkinRequest returns the head of a request of class checkin, with headerLines added. Each line ends in CRLF.
 func checkinRequest(headerLines string) string {
 	return "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Class: checkin\r\n" + headerLines + "\r\n"
 }
 
-// badClient is what a client sends that is no proper request, and the status that it is owed; none: a close.
+// malformedRequest is a text that is not a valid request, and the status of the response to it. An empty status
+// means that the connection is closed without a response.
 type malformedRequest struct{ name, text, status string }
 
+// malformedRequests returns the cases of TestMalformedRequestsAreRefused and TestMalformedRequestsAreRefusedInTime.
 func malformedRequests() []malformedRequest {
 	const id = "X-Request-Id: 1\r\n"
 	return []malformedRequest{
-		{"noise", "\x00\x01\x02\r\n\r\n", "505"},
-		{"both framings", checkinRequest(id + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), "400"},
-		{"two codings", checkinRequest(id + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), "400"},
+		{"binary data", "\x00\x01\x02\r\n\r\n", "505"},
+		{"Content-Length and Transfer-Encoding", checkinRequest(id + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), "400"},
+		{"two Transfer-Encoding fields", checkinRequest(id + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), "400"},
 		{"chunked twice", checkinRequest(id + "Transfer-Encoding: chunked, chunked\r\n"), "400"},
-		{"another coding", checkinRequest(id + "Transfer-Encoding: gzip\r\n"), "501"},
-		{"another expectation", checkinRequest(id + "Content-Length: 2\r\nExpect: more\r\n"), "417"},
-		{"a chunk that is none", checkinRequest(id+"Transfer-Encoding: chunked\r\n") + "zz\r\n", "400"},
-		{"half a chunk", checkinRequest(id+"Transfer-Encoding: chunked\r\n") + "5\r\nab", "408"},
+		{"unknown Transfer-Encoding", checkinRequest(id + "Transfer-Encoding: gzip\r\n"), "501"},
+		{"unknown Expect", checkinRequest(id + "Content-Length: 2\r\nExpect: more\r\n"), "417"},
+		{"malformed chunk size", checkinRequest(id+"Transfer-Encoding: chunked\r\n") + "zz\r\n", "400"},
+		{"incomplete chunk", checkinRequest(id+"Transfer-Encoding: chunked\r\n") + "5\r\nab", "408"},
 		{"chunks in HTTP/1.0", strings.Replace(checkinRequest(id+"Transfer-Encoding: chunked\r\n"), "1.1", "1.0", 1), "505"},
-		{"a blank before the colon", checkinRequest(id + "Transfer-Encoding : chunked\r\n"), "400"},
-		{"a field without a colon", checkinRequest(id + "what\r\n"), "400"},
-		{"no length", checkinRequest(id), "411"},
-		{"a negative length", checkinRequest(id + "Content-Length: -5\r\n"), "400"},
-		{"a signed length", checkinRequest(id+"Content-Length: +2\r\n") + "ab", "400"},
-		{"a huge length", checkinRequest(id + "Content-Length: 99999999999999999999\r\n"), "413"},
-		{"two lengths", checkinRequest(id + "Content-Length: 2\r\nContent-Length: 2\r\n"), "400"},
-		{"more than its length", checkinRequest(id+"Content-Length: 2\r\n") + "abc", "400"},
-		{"two requests at once", strings.Repeat(checkinRequest(id+"Content-Length: 0\r\n"), 2), "400"},
-		{"a class that does not exist", strings.Replace(checkinRequest(id+"Content-Length: 0\r\n"), "X-Class: checkin", "X-Class: x", 1), "400"},
-		{"two classes", checkinRequest(id + "X-Class: checkin\r\nContent-Length: 0\r\n"), "400"},
-		{"no id", checkinRequest("Content-Length: 0\r\n"), "400"},
-		{"two ids", checkinRequest(id + id + "Content-Length: 0\r\n"), "400"},
-		{"a deadline that is no number", checkinRequest(id + "X-Deadline-Ms: soon\r\nContent-Length: 0\r\n"), "400"},
-		{"a deadline that is empty", checkinRequest(id + "X-Deadline-Ms:\r\nContent-Length: 0\r\n"), "400"},
-		{"a deadline of zero", checkinRequest(id + "X-Deadline-Ms: 0\r\nContent-Length: 0\r\n"), "400"},
-		{"a negative deadline", checkinRequest(id + "X-Deadline-Ms: -5\r\nContent-Length: 0\r\n"), "400"},
-		{"two deadlines", checkinRequest(id + "X-Deadline-Ms: 50\r\nX-Deadline-Ms: 60\r\nContent-Length: 0\r\n"), "400"},
-		{"a head without end", checkinRequest(id + strings.Repeat("X-Pad: pppp\r\n", maxHeadBytes)), "431"},
-		{"half a head", "POST /checkin HT", "408"},
-		{"half a body", checkinRequest(id+"Content-Length: 5\r\n") + "ab", "408"},
-		{"nothing", "", ""},
-	}
-}
-
-// check holds what a bad client got against what it is owed.
+		{"space before the colon", checkinRequest(id + "Transfer-Encoding : chunked\r\n"), "400"},
+		{"header field without a colon", checkinRequest(id + "what\r\n"), "400"},
+		{"no Content-Length", checkinRequest(id), "411"},
+		{"negative Content-Length", checkinRequest(id + "Content-Length: -5\r\n"), "400"},
+		{"signed Content-Length", checkinRequest(id+"Content-Length: +2\r\n") + "ab", "400"},
+		{"Content-Length out of range", checkinRequest(id + "Content-Length: 99999999999999999999\r\n"), "413"},
+		{"two Content-Length fields", checkinRequest(id + "Content-Length: 2\r\nContent-Length: 2\r\n"), "400"},
+		{"body longer than Content-Length", checkinRequest(id+"Content-Length: 2\r\n") + "abc", "400"},
+		{"pipelined requests", strings.Repeat(checkinRequest(id+"Content-Length: 0\r\n"), 2), "400"},
+		{"unknown class", strings.Replace(checkinRequest(id+"Content-Length: 0\r\n"), "X-Class: checkin", "X-Class: x", 1), "400"},
+		{"two X-Class fields", checkinRequest(id + "X-Class: checkin\r\nContent-Length: 0\r\n"), "400"},
+		{"no X-Request-Id", checkinRequest("Content-Length: 0\r\n"), "400"},
+		{"two X-Request-Id fields", checkinRequest(id + id + "Content-Length: 0\r\n"), "400"},
+		{"deadline is not a number", checkinRequest(id + "X-Deadline-Ms: soon\r\nContent-Length: 0\r\n"), "400"},
+		{"empty deadline", checkinRequest(id + "X-Deadline-Ms:\r\nContent-Length: 0\r\n"), "400"},
+		{"zero deadline", checkinRequest(id + "X-Deadline-Ms: 0\r\nContent-Length: 0\r\n"), "400"},
+		{"negative deadline", checkinRequest(id + "X-Deadline-Ms: -5\r\nContent-Length: 0\r\n"), "400"},
+		{"two X-Deadline-Ms fields", checkinRequest(id + "X-Deadline-Ms: 50\r\nX-Deadline-Ms: 60\r\nContent-Length: 0\r\n"), "400"},
+		{"head too long", checkinRequest(id + strings.Repeat("X-Pad: pppp\r\n", maxHeadBytes)), "431"},
+		{"incomplete head", "POST /checkin HT", "408"},
+		{"incomplete body", checkinRequest(id+"Content-Length: 5\r\n") + "ab", "408"},
+		{"no bytes", "", ""},
+	}
+}
+
+// checkResponse checks what a client received after sending the malformed request.
 func (m malformedRequest) checkResponse(t *testing.T, got string) {
 	t.Helper()
 	if want := "HTTP/1.1 " + m.status; (m.status == "") != (got == "") || (m.status != "" && !strings.HasPrefix(got, want)) {
@@ -587,7 +614,7 @@
 	}
 }
 
-// What can't be read, or is not certain, never reaches an upstream: it gets its word and a close.
+// TestMalformedRequestsAreRefused guards against forwarding requests that are malformed or have ambiguous framing.
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
@@ -600,8 +627,8 @@
 	t.Cleanup(func() { want(t, "requests at the upstream", len(upstream.received), 0) })
 }
 
-// Each has its word or its close within 3 s of connecting. On a clock of its own: the balancer has 0.2 s in hand, and a busy
-// machine woke it later than that (half a chunk was answered after 3.05 s).
+// TestMalformedRequestsAreRefusedInTime guards against a client that waits over 3 s for a response or a close. The fake
+// clock makes the time independent of the machine's load.
 func TestMalformedRequestsAreRefusedInTime(t *testing.T) {
 	for _, m := range malformedRequests() {
 		t.Run(m.name, func(t *testing.T) {
@@ -615,17 +642,18 @@
 				got, _ := io.ReadAll(conn)
 				m.checkResponse(t, string(got))
 				if took := time.Since(start); took > 3*time.Second {
-					t.Errorf("answered after %v", took)
+					t.Errorf("got a response or a close after %v, want at most 3s", took)
 				}
 				conn.Close()
-				want(t, "begun", v.begun(), 0)
+				want(t, "requests started at the upstream", v.begun(), 0)
 				v.rest()
 			})
 		})
 	}
 }
 
-// A client that is slow but goes on is a usual one on a bad line: it is served, later than a silent one is closed.
+// TestSlowClientIsServed guards against closing a client that sends its request slowly but steadily: it gets longer
+// than a client that sends nothing.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -642,10 +670,10 @@
 		if _, err := io.WriteString(conn, remaining[:min(pieceSize, len(remaining))]); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(requestHeadTimeout / 8) // a slow line is what is tried
+		time.Sleep(requestHeadTimeout / 8) // simulates a slow connection
 	}
 	if time.Since(start) < 2*time.Second {
-		t.Fatal("not slow enough to tell")
+		t.Fatal("the request took less than 2s to send, so the test proves nothing")
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -654,7 +682,7 @@
 	want(t, "status", resp.StatusCode, 200)
 }
 
-// A deadline beyond the class's is cut to that.
+// TestDeadlineAboveClassLimitIsAccepted guards against refusing a request whose deadline is longer than its class's.
 func TestDeadlineAboveClassLimitIsAccepted(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
@@ -662,7 +690,8 @@
 	want(t, "status", status, 200)
 }
 
-// The id of a request that is open: the newcomer is turned away, the first is served.
+// TestDuplicateOpenRequestIDIsRejected guards against forwarding a request with the ID of one in flight. The ID can be
+// used again once that one is answered.
 func TestDuplicateOpenRequestIDIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -681,15 +710,15 @@
 	}()
 	<-upstream.received
 	status, _ := b.do(t, duplicate)
-	want(t, "newcomer", status, 409)
+	want(t, "status of the duplicate", status, 409)
 	close(release)
-	want(t, "first", <-originalStatus, 200)
+	want(t, "status of the original", <-originalStatus, 200)
 	status, _ = b.do(t, duplicate.Clone(t.Context()))
-	want(t, "once it is no longer open", status, 200)
+	want(t, "status of a reuse after the response", status, 200)
 }
 
-// Hundreds of silent connections: those that say nothing make room, a request in hand is answered, and new clients are
-// served.
+// TestSilentConnectionsAreEvicted guards against hundreds of silent connections keeping new clients out or breaking a
+// request in flight.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
@@ -720,15 +749,16 @@
 		silent = append(silent, c)
 	}
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on the longest silent connection")
+		t.Error("got bytes on the connection that was silent longest, want a close")
 	}
 	status, _ := b.do(t, b.newRequest("checkin", ""))
-	want(t, "a new client", status, 200)
+	want(t, "status of a new client", status, 200)
 	close(release)
-	want(t, "the request in hand", <-lateStatus, 200)
+	want(t, "status of the request in flight", <-lateStatus, 200)
 }
 
-// A hung upstream: the client gets its one answer by its deadline, and the request is not sent again.
+// TestHungUpstreamFailsByDeadline guards against responding after the client's deadline, and against sending a
+// non-idempotent request again.
 func TestHungUpstreamFailsByDeadline(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -738,13 +768,13 @@
 	status, _ := b.do(t, b.newRequest("checkin", "", "X-Deadline-Ms", "200"))
 	want(t, "status", status, http.StatusGatewayTimeout)
 	if took := time.Since(start); took < 150*time.Millisecond || took > 2*time.Second {
-		t.Errorf("answered after %v, want about the deadline", took)
+		t.Errorf("got the response after %v, want it between 150ms and 2s", took)
 	}
 	want(t, "requests at the upstream", len(upstream.received), 1)
 }
 
-// A client that leaves stops no work. Its connection waits for the late answer and serves again: closing it would
-// cost the upstream a handshake. All other connections are closed after their answers here.
+// TestUpstreamConnectionOutlivesClient guards against closing an upstream connection because the client has left. It
+// stays open for the late response and is reused. All other connections are closed after their responses.
 func TestUpstreamConnectionOutlivesClient(t *testing.T) {
 	release := make(chan struct{})
 	servedOn := make(chan net.Conn, 1)
@@ -768,9 +798,9 @@
 	<-upstream.received
 	disconnect()
 	if err := <-clientErr; err == nil {
-		t.Fatal("the client has not left")
+		t.Fatal("the cancelled request got a response")
 	}
-	status, _ := b.do(t, b.newRequest("checkin", "")) // on a connection of its own
+	status, _ := b.do(t, b.newRequest("checkin", "")) // uses another upstream connection
 	want(t, "status", status, 200)
 	<-servedOn
 	<-upstream.received
@@ -783,12 +813,12 @@
 			}
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the connection was not used again")
+			t.Fatal("the connection was not reused")
 		}
 	}
 }
 
-// An agent on the balancer's own machine answers a watch at once, news or not. That must not keep the core busy.
+// TestMinimumIntervalBetweenWatchCalls guards against a busy loop when discovery answers watch calls at once.
 func TestMinimumIntervalBetweenWatchCalls(t *testing.T) {
 	b := startBalancer(t)
 	<-b.discovery.calls
@@ -798,12 +828,12 @@
 		<-b.discovery.calls
 	}
 	if took := time.Since(start); took < 2*minWatchInterval {
-		t.Errorf("4 calls in %v", took)
+		t.Errorf("got 4 calls in %v, want a pause between calls", took)
 	}
 }
 
-// A connection on which nothing was ever sent must not keep a stopping balancer from ending, nor take the
-// requests in hand with it.
+// TestStopClosesUnusedConnections guards against unused connections delaying a shutdown, and against closing those with
+// a request in flight.
 func TestStopClosesUnusedConnections(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -826,13 +856,14 @@
 	<-upstream.received
 	b.cancel()
 	if _, err := unused.Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on an unused connection")
+		t.Error("got bytes on an unused connection, want a close")
 	}
 	close(release)
-	want(t, "status of the request in hand", <-status, 200)
+	want(t, "status of the request in flight", <-status, 200)
 }
 
-// After a drain has been told nothing more goes there; an older answer does not bring it back.
+// TestOlderListDoesNotEndDrain guards against sending requests to a draining upstream, also after an older list has
+// named it as up.
 func TestOlderListDoesNotEndDrain(t *testing.T) {
 	drained, active := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	m1, m2 := upMember("s-00000001", drained), upMember("s-00000002", active)
@@ -841,30 +872,30 @@
 	b.discovery.responses <- discoveryList{Revision: 12, Members: []member{drainingMember(m1)}}
 	want(t, "next call", withoutTimeout(<-b.discovery.calls), "since=12")
 	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: []member{m1, m2}}
-	want(t, "call after an older answer", withoutTimeout(<-b.discovery.calls), "since=12")
+	want(t, "call after an older list", withoutTimeout(<-b.discovery.calls), "since=12")
 	for range 10 {
 		status, _ := b.do(t, b.newRequest("checkin", ""))
 		want(t, "status", status, 200)
 	}
 	want(t, "requests at the draining upstream", len(drained.received), 0)
-	want(t, "requests at the other", len(active.received), 10)
+	want(t, "requests at the other upstream", len(active.received), 10)
 }
 
-// A failed call is told to the module, which asks again in its own time.
+// TestRetriesFailedDiscoveryCall guards against never calling discovery again after a failed call.
 func TestRetriesFailedDiscoveryCall(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t)
 	<-b.discovery.calls
-	b.discovery.responses <- discoveryList{} // 503
+	b.discovery.responses <- discoveryList{} // sent as a 503
 	<-b.discovery.calls
 	b.discovery.responses <- discoveryList{Revision: 20, Complete: true, Members: []member{upMember("s-00000001", upstream)}}
-	<-b.discovery.calls // the list has been posted
+	<-b.discovery.calls // the list has been posted to the loop
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	want(t, "status", status, 200)
 }
 
-// A new configuration names another discovery, whose revisions are lower: its whole list is taken, a late answer of the
-// old one is not.
+// TestReloadChangesDiscoveryAddress guards against ignoring the list of a new discovery server because its revisions
+// are lower, and against using a late list of the old one.
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	oldUpstream, newUpstream := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", oldUpstream))
@@ -873,22 +904,23 @@
 	reloaded := b.config
 	reloaded.Discovery = newDiscovery.addr
 	b.reloads <- again(reloaded)
-	want(t, "call at the new discovery", <-newDiscovery.calls, "")
-	select { // the call at the old one has been ended; its answer, should it still be written, is too late
+	want(t, "call to the new server", <-newDiscovery.calls, "")
+	select { // the call to the old server has been cancelled; a response that is still written comes too late
 	case b.discovery.responses <- discoveryList{Revision: 30, Complete: true, Members: []member{upMember("s-00000001", oldUpstream)}}:
 	default:
 	}
 	newDiscovery.responses <- discoveryList{Revision: 3, Complete: true, Members: []member{upMember("s-00000002", newUpstream)}}
-	want(t, "its next call", withoutTimeout(<-newDiscovery.calls), "since=3")
+	want(t, "next call to the new server", withoutTimeout(<-newDiscovery.calls), "since=3")
 	for range 5 {
 		status, _ := b.do(t, b.newRequest("checkin", ""))
 		want(t, "status", status, 200)
 	}
-	want(t, "requests at what the new list lacks", len(oldUpstream.received), 0)
-	want(t, "requests at the other", len(newUpstream.received), 5)
+	want(t, "requests at the upstream that is not in the new list", len(oldUpstream.received), 0)
+	want(t, "requests at the other upstream", len(newUpstream.received), 5)
 }
 
-// An answer that was on its way from the old discovery when the configuration changed is dropped.
+// TestLateResponseFromReplacedDiscoveryIsIgnored guards against applying a list that the old discovery server sent
+// before a reload and that arrives after it.
 func TestLateResponseFromReplacedDiscoveryIsIgnored(t *testing.T) {
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
@@ -901,14 +933,15 @@
 	newConfig.Discovery = "127.0.0.1:9"
 	configReloaded{again(newConfig), nil}.apply(l)
 	l.applyListUpdate(listUpdate{from: oldClient, discoveryList: discoveryList{Revision: 90, Complete: true}})
-	want(t, "upstreams after a late answer", len(l.upstreams), 1)
-	want(t, "revision after it", l.revision, uint64(0))
+	want(t, "upstreams after a late list", len(l.upstreams), 1)
+	want(t, "revision after the late list", l.revision, uint64(0))
 	l.applyListUpdate(listUpdate{from: l.discoveryClient, discoveryList: discoveryList{Revision: 2, Complete: true}})
 	want(t, "upstreams after the new list", len(l.upstreams), 0)
-	want(t, "revision after it", l.revision, uint64(2))
+	want(t, "revision after the new list", l.revision, uint64(2))
 }
 
-// What was taken is answered after SIGTERM, and connections that are still on their way are served.
+// TestGracefulShutdownAnswersAcceptedRequests guards against losing requests in flight when a shutdown begins, and
+// those on connections that arrive soon after.
 func TestGracefulShutdownAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
@@ -934,42 +967,43 @@
 	}()
 	<-upstream.received
 	b.cancel()
-	for { // a new connection, after the stop has begun
+	for { // on new connections, until the shutdown has begun
 		r := b.newRequest("checkin", "")
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		want(t, "status while stopping", resp.StatusCode, 200)
+		want(t, "status while shutting down", resp.StatusCode, 200)
 		if resp.Close {
 			break
 		}
 	}
 	close(release)
 	if result := <-lateResult; result.err != nil || result.status != 200 {
-		t.Errorf("the request in hand ended with %v, %v", result.status, result.err)
+		t.Errorf("request in flight: got status %v, error %v, want 200", result.status, result.err)
 	}
 	if err := <-b.runResult; err != nil {
 		t.Error(err)
 	}
 	b.runResult <- nil
 	if _, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://")); err == nil {
-		t.Error("still listening")
+		t.Error("connected after the shutdown, want the listener closed")
 	}
 }
 
-// SIGTERM comes while discovery moves, or discovery moves while what was taken before SIGTERM is answered: the new address
-// is asked, and what was taken is answered all the same.
+// TestShutdownDuringDiscoveryChange guards against ignoring a new discovery address during a shutdown, and against
+// losing the request in flight when the shutdown and the reload overlap.
 func TestShutdownDuringDiscoveryChange(t *testing.T) {
 	for _, stopFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) { testShutdownDuringDiscoveryChange(t, stopFirst) })
 	}
 }
 
+// testShutdownDuringDiscoveryChange reloads during a shutdown if stopFirst is set, otherwise right before it.
 func testShutdownDuringDiscoveryChange(t *testing.T, stopFirst bool) {
 	release := make(chan struct{})
-	upstream := newTestUpstream(t, func(reloaded net.Conn, r *http.Request) bool { <-release; return respondOK(reloaded, r) })
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	status := make(chan int, 1)
 	go func() {
@@ -983,8 +1017,8 @@
 	}()
 	<-upstream.received
 	newDiscovery := newManualDiscovery(t)
-	reloaded := b.config
-	reloaded.Discovery = newDiscovery.addr
+	c := b.config
+	c.Discovery = newDiscovery.addr
 	if stopFirst {
 		b.cancel()
 		for resp, err := b.client.Get(b.url + "/healthz"); err == nil && resp.StatusCode == 200; resp, err = b.client.Get(b.url + "/healthz") {
@@ -992,20 +1026,21 @@
 		}
 	}
 	select {
-	case b.reloads <- again(reloaded):
-		<-newDiscovery.calls // it has moved, and waits for the list
+	case b.reloads <- again(c):
+		<-newDiscovery.calls // the new server has been called, and its list is awaited
 	case <-time.After(10 * time.Second):
-		t.Error("the reload is not taken")
+		t.Error("the reload was not accepted within 10s")
 	}
 	b.cancel()
 	close(release)
-	want(t, "status of the request in hand", <-status, 200)
+	want(t, "status of the request in flight", <-status, 200)
 	if err := <-b.runResult; err != nil {
 		t.Error(err)
 	}
 	b.runResult <- nil
 }
 
+// TestHealthCheck guards against failing health checks of a balancer in service.
 func TestHealthCheck(t *testing.T) {
 	b := startBalancer(t)
 	resp, err := b.client.Get(b.url + "/healthz")
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -20,7 +20,7 @@
 	"garnettide"
 )
 
-// text returns n bytes of which no two stretches are alike.
+// numberedBytes returns n bytes of ascending numbers, so that missing or reordered parts show.
 func numberedBytes(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
@@ -29,7 +29,7 @@
 	return b.Bytes()[:n]
 }
 
-// rawServer is an upstream that answers connections as it likes, without reading requests whole first.
+// newRawUpstream starts an upstream that passes each connection to serve, without reading requests first.
 func newRawUpstream(t *testing.T, serve func(c net.Conn)) *testUpstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,12 +49,12 @@
 	return &testUpstream{addr: listener.Addr().String()}
 }
 
-// readHead reads a request's head and leaves its body.
+// readRequestHead reads a request's head and at most a few bytes of its body.
 func readRequestHead(c net.Conn) (*http.Request, error) {
 	return http.ReadRequest(bufio.NewReaderSize(c, 16))
 }
 
-// echoBodies answers each request with its body, in chunks where the request asks for them.
+// echoBodies responds to each request with the request's body, in chunked encoding if the request has X-Chunks.
 func echoBodies(c net.Conn) {
 	for reader := bufio.NewReader(c); ; {
 		r, err := http.ReadRequest(reader)
@@ -80,8 +80,8 @@
 	}
 }
 
-// Bodies of any size pass unchanged in both directions, with a length and in chunks, in pieces cut anywhere. On a clock of
-// its own: on a busy machine the upstream of the test took over 4 s to read and answer 32 MB, which is a 504 by right.
+// TestLargeBodiesPassUnchanged guards against corrupted bodies of any size, with a Content-Length and chunked. The fake
+// clock keeps deadlines from expiring on a busy machine.
 func TestLargeBodiesPassUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
@@ -113,20 +113,21 @@
 				}
 				got, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
-				want(t, fmt.Sprintf("%d bytes, chunks %q: status", size, chunked), resp.StatusCode, 200)
+				want(t, fmt.Sprintf("%d bytes, chunked %q: status", size, chunked), resp.StatusCode, 200)
 				if err != nil || sha256.Sum256(got) != sha256.Sum256(body) {
-					t.Errorf("%d bytes, chunks %q: %d others came back, %v", size, chunked, len(got), err)
+					t.Errorf("%d bytes, chunked %q: got another body, of %d bytes, error %v", size, chunked, len(got), err)
 				}
 			}
 		}
 		synctest.Wait()
-		want(t, "what was held is given back", v.memory.available.Load(), memoryBefore)
+		want(t, "free body memory at the end", v.memory.available.Load(), memoryBefore)
 		client.CloseIdleConnections()
 		v.rest()
 	})
 }
 
-// In chunks too the bound holds, and nobody takes what came before it for a request.
+// TestChunkedBodyOverLimitIsRefused guards against a chunked body over the size limit, of which an upstream might
+// accept the start as a request.
 func TestChunkedBodyOverLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -145,8 +146,8 @@
 	want(t, "requests at the upstream", len(upstream.received), 0)
 }
 
-// A client is read no faster than the upstream reads, and an upstream no faster than the client: memory does not take
-// what the slower side has not.
+// TestBackPressure guards against buffering a body in memory when the receiving side, upstream or client, reads slower
+// than the other sends.
 func TestBackPressure(t *testing.T) {
 	t.Parallel()
 	const size = 24 << 20
@@ -183,21 +184,22 @@
 	}()
 	downloader := b.dialClient(t)
 	downloader.send(t, b.newRequest("read", ""))
-	stalled := func(n *atomic.Int64) bool { // it moves no more
+	stalled := func(n *atomic.Int64) bool { // no more bytes are accepted
 		before := n.Load()
 		time.Sleep(100 * time.Millisecond)
 		return before > 0 && n.Load() == before
 	}
 	for direction, n := range map[string]*atomic.Int64{"upload": &uploaded, "download": &downloaded} {
-		b.waitUntil(t, "the "+direction+" waits", func() bool { return stalled(n) })
+		b.waitUntil(t, "the "+direction+" stalls", func() bool { return stalled(n) })
 		if n.Load() >= size*3/4 {
-			t.Errorf("%s: %d bytes were taken with nobody reading", direction, n.Load())
+			t.Errorf("%s: got %d bytes accepted with no reader, want less than 3/4 of the body", direction, n.Load())
 		}
 	}
 	close(release)
 }
 
-// The first bytes of a long answer are passed on while the rest is still to come, and the deadline no longer ends it.
+// TestResponseIsStreamed guards against holding back the start of a response until its end, and against ending a
+// response at the deadline after it has begun.
 func TestResponseIsStreamed(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -221,18 +223,18 @@
 		}
 		got := make([]byte, 10)
 		if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != "0123456789" {
-			t.Fatalf("%s: %q, %v", framing, got, err)
+			t.Fatalf("%s: got first bytes %q, error %v, want 0123456789", framing, got, err)
 		}
 		b.waitUntil(t, "the deadline has passed", func() bool { return b.checkOnLoop(func(l *loop) bool { return len(l.timers) < 2 }) })
 		release <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || strings.Trim(string(rest), "x") != "" || len(rest) == 0 {
-			t.Errorf("%s: then %d bytes, %v", framing, len(rest), err)
+			t.Errorf("%s: got %d bytes after them, error %v, want only x", framing, len(rest), err)
 		}
 	}
 }
 
-// loopSays asks on the loop.
+// checkOnLoop evaluates a condition on the loop's goroutine.
 func (b *testBalancer) checkOnLoop(condition func(*loop) bool) bool {
 	call := adminLoopCall{done: make(chan struct{})}
 	var result bool
@@ -242,7 +244,7 @@
 	return result
 }
 
-// An answer that breaks off is never ended as if it were whole.
+// TestTruncatedResponseIsNotPassedAsComplete guards against ending a truncated response as if it were complete.
 func TestTruncatedResponseIsNotPassedAsComplete(t *testing.T) {
 	t.Parallel()
 	for framing, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBufferedBody), "chunks": "Transfer-Encoding: chunked\r\n",
@@ -253,7 +255,7 @@
 				body = fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n"+body)
-			if framing == "reset" { // an answer that the connection's end ends
+			if framing == "reset" { // the end of the connection would end this response
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			return false
@@ -265,12 +267,12 @@
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%s: passed on as whole", framing)
+			t.Errorf("%s: got a complete response, want an error", framing)
 		}
 	}
 }
 
-// A body that takes far longer than the deadline is served: its time starts at its last byte, also at the upstream.
+// TestSlowUploadIsServed guards against counting the deadline, also for the upstream, from before a body's last byte.
 func TestSlowUploadIsServed(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -288,44 +290,45 @@
 			if framing == "chunks" {
 				io.WriteString(client, "\r\n")
 			}
-			time.Sleep(50 * time.Millisecond) // a slow line is what is tried
+			time.Sleep(50 * time.Millisecond) // simulates a slow connection
 		}
 		if framing == "chunks" {
 			io.WriteString(client, "0\r\n\r\n")
 		}
 		if time.Since(start) < 2*deadline {
-			t.Fatal("not slow enough to tell")
+			t.Fatal("the upload took less than twice the deadline, so the test proves nothing")
 		}
 		want(t, framing, client.readResponse(t).StatusCode, 200)
 		forwarded := <-upstream.received
 		body, _ := io.ReadAll(forwarded.Body)
-		want(t, framing+": bytes", len(body), pieces*16<<10)
+		want(t, framing+": body bytes at the upstream", len(body), pieces*16<<10)
 	}
 }
 
-// A client that stops in the middle of a large body is told so, and the upstream gets no request.
+// TestIncompleteUploadIsRefused guards against an upstream accepting a request whose body stops or is malformed in the
+// middle.
 func TestIncompleteUploadIsRefused(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	for name, tt := range map[string]struct{ text, status string }{
-		"length": {checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) + string(numberedBytes(2*maxBufferedBody)), "408"},
-		"chunks": {checkinRequest("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "408"},
-		"noise":  {checkinRequest("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "400"},
+		"length":    {checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) + string(numberedBytes(2*maxBufferedBody)), "408"},
+		"chunks":    {checkinRequest("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "408"},
+		"malformed": {checkinRequest("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "400"},
 	} {
 		if got := sendRaw(t, b.url, tt.text); !strings.HasPrefix(got, "HTTP/1.1 "+tt.status) {
-			t.Errorf("%s: got %q", name, got)
+			t.Errorf("%s: got %q, want an error response", name, got)
 		}
 	}
-	b.waitUntil(t, "nothing is left of them", func() bool {
+	b.waitUntil(t, "requests and connections are released", func() bool {
 		return b.checkOnLoop(func(l *loop) bool { return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0 })
 	})
 	want(t, "requests at the upstream", len(upstream.received), 0)
-	want(t, "held", b.loop.memory.available.Load(), b.config.bodyMemory())
+	want(t, "free body memory", b.loop.memory.available.Load(), b.config.bodyMemory())
 }
 
-// An upstream that answers before it has the whole body: the client gets that answer and can read it, and the upstream's
-// connection serves nobody else.
+// TestEarlyResponse guards against losing a response that an upstream sends before it has received the whole body, and
+// against reusing the upstream's connection.
 func TestEarlyResponse(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{})
@@ -339,19 +342,20 @@
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	client := b.dialClient(t)
 	io.WriteString(client, checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", maxBodyBytes)))
-	go io.Copy(client, io.LimitReader(zeroReader{}, 4*maxBufferedBody)) // and no more: it waits for its answer
+	go io.Copy(client, io.LimitReader(zeroReader{}, 4*maxBufferedBody)) // not all of it: the client waits for the response
 	resp := client.readResponse(t)
 	want(t, "status", resp.StatusCode, 503)
-	want(t, "closes", resp.Close, true)
+	want(t, "client connection closes", resp.Close, true)
 	<-closed
 }
 
+// zeroReader is an endless source of bytes.
 type zeroReader struct{}
 
 func (zeroReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// What is held whole goes to a second server where the first one breaks before it ran; what was partly passed on is not
-// sent twice.
+// TestStreamedBodyIsNotRetried guards against a second attempt of a request whose body was partly streamed to the
+// first upstream.
 func TestStreamedBodyIsNotRetried(t *testing.T) {
 	t.Parallel()
 	var attempts atomic.Int32
@@ -364,13 +368,14 @@
 		c.(*net.TCPConn).SetLinger(0)
 	})
 	b := startBalancer(t, upMember("s-00000001", failing))
-	const size = 16 << 20 // far over what the buffers of both sockets hold: its last byte is not written before it breaks
+	const size = 16 << 20 // far more than the socket buffers hold: the last byte is not written before the reset
 	status, _ := b.do(t, b.newRequest("checkin", string(numberedBytes(size))))
-	want(t, "a large one", status, 503)
+	want(t, "status of a large body", status, 503)
 	want(t, "attempts", attempts.Load(), int32(1))
 }
 
-// A client that asks to go on is told to, once, and one that is refused is not.
+// TestExpectContinue guards against a missing or repeated 100 Continue, and against sending it to a client whose request
+// is refused.
 func TestExpectContinue(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -378,15 +383,15 @@
 	client := b.dialClient(t)
 	io.WriteString(client, checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBufferedBody)))
 	line, _ := client.reader.ReadString('\n')
-	want(t, "interim", line, "HTTP/1.1 100 Continue\r\n")
+	want(t, "interim response", line, "HTTP/1.1 100 Continue\r\n")
 	client.reader.ReadString('\n')
 	client.Write(numberedBytes(2 * maxBufferedBody))
 	want(t, "status", client.readResponse(t).StatusCode, 200)
 	got := sendRaw(t, b.url, checkinRequest(fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxBodyBytes+1)))
-	want(t, "refused", strings.HasPrefix(got, "HTTP/1.1 413"), true)
+	want(t, "refused with 413", strings.HasPrefix(got, "HTTP/1.1 413"), true)
 }
 
-// Where nothing can be held bodies pass all the same.
+// TestBodiesPassWithoutBufferMemory guards against failing requests when no memory for buffered bodies is left.
 func TestBodiesPassWithoutBufferMemory(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, "done") })
@@ -398,11 +403,11 @@
 		want(t, "body", body, "done")
 		r := <-upstream.received
 		forwarded, _ := io.ReadAll(r.Body)
-		want(t, "bytes", len(forwarded), n)
+		want(t, "body bytes at the upstream", len(forwarded), n)
 	}
 }
 
-// A reader whose body breaks off gives back what it held.
+// TestCollectFreesMemoryOnError guards against a leak of body memory when reading a body fails.
 func TestCollectFreesMemoryOnError(t *testing.T) {
 	memory := newBodyMemory()
 	before := memory.available.Load()
@@ -410,20 +415,22 @@
 	if _, _, err := memory.collect(broken, always); !errors.Is(err, errAmbiguousFraming) {
 		t.Error(err)
 	}
-	want(t, "room", memory.available.Load(), before)
+	want(t, "free body memory", memory.available.Load(), before)
 	buffered, complete, err := memory.collect(bytes.NewReader(numberedBytes(maxBufferedBody+1)), always)
 	if complete || err != nil || len(buffered) != maxBufferedBody {
-		t.Errorf("%d bytes held, whole %v, %v", len(buffered), complete, err)
+		t.Errorf("got %d bytes buffered, complete %v, error %v", len(buffered), complete, err)
 	}
 	memory.free(buffered)
-	want(t, "room", memory.available.Load(), before)
+	want(t, "free body memory", memory.available.Load(), before)
 }
 
+// errReader fails every read.
 type errReader struct{}
 
 func (errReader) Read([]byte) (int, error) { return 0, errAmbiguousFraming }
 
-// In a crowd that takes every place a request that comes slowly is served, and who asked once and stays gives way to it.
+// TestSlowClientIsServedUnderConnectionPressure guards against evicting a client that sends its request slowly while
+// idle and silent connections fill the limit.
 func TestSlowClientIsServedUnderConnectionPressure(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -436,7 +443,7 @@
 			t.Fatal(err)
 		}
 		request = request[n:]
-		for i := range b.config.maxClientConns() / 4 { // some ask once, some stop within a request, some say nothing
+		for i := range b.config.maxClientConns() / 4 { // idle after a request, incomplete request, silent
 			c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 			if err != nil {
 				t.Fatal(err)
@@ -449,12 +456,13 @@
 				io.WriteString(c, "POST /checkin HT")
 			}
 		}
-		time.Sleep(requestHeadTimeout / 20) // a slow line is what is tried
+		time.Sleep(requestHeadTimeout / 20) // simulates a slow connection
 	}
 	want(t, "status", slowClient.readResponse(t).StatusCode, 200)
 }
 
-// Who stands still longest gives way, a mute connection before any that has begun, and never one that is served.
+// TestEvictionOrder guards against evicting the wrong connection: the first is one that never sent a byte, then the
+// one without progress for longest, and never one with a request in flight.
 func TestEvictionOrder(t *testing.T) {
 	now := time.Now()
 	front := &frontend{clients: map[*client]struct{}{}}
@@ -474,27 +482,27 @@
 		add(clientIdle, false, 20*time.Second, 20*time.Second),
 		add(clientReading, true, 3*time.Second, 2*time.Second),
 		add(clientIdle, false, time.Second, time.Second),
-		add(clientReading, true, 3*time.Second, 100*time.Millisecond), // slow, and still coming
+		add(clientReading, true, 3*time.Second, 100*time.Millisecond), // slow, but making progress
 	}
 	for i, c := range evictionOrder {
 		if !front.makeRoom() || c.stage != clientEvicted {
-			t.Fatalf("number %d did not give way", i)
+			t.Fatalf("connection %d was not evicted in its turn", i)
 		}
 	}
 	if front.makeRoom() || served.stage != clientServing || fresh.stage != clientReading {
-		t.Error("one that is served, or that has just come, gave way")
+		t.Error("a connection with a request in flight, or a new one, was evicted")
 	}
 }
 
-// A client of an upload that is held leaves behind bytes that nobody reads before an attempt takes the body. Nothing begins
-// for it, be its connection closed or reset, also where the first attempt found no connection.
+// TestUnreadUploadOfClosedClientIsNotSent guards against sending an upload whose client has closed or reset its
+// connection. Unread body bytes hide the close until an attempt reads the body, also after an attempt that was refused.
 func TestUnreadUploadOfClosedClientIsNotSent(t *testing.T) {
 	for name, disconnect := range map[string]func(*net.TCPConn){
 		"closed": func(*net.TCPConn) {},
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0) },
 	} {
 		for _, refusedFirst := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, an attempt refused before %v", name, refusedFirst), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, first upstream refuses %v", name, refusedFirst), func(t *testing.T) {
 				t.Parallel()
 				var requests atomic.Int32
 				upstream := newRawUpstream(t, func(c net.Conn) {
@@ -525,7 +533,7 @@
 				b.waitUntil(t, "the request has ended", func() bool {
 					return b.checkOnLoop(func(l *loop) bool { return len(l.openIDs) == 0 })
 				})
-				want(t, "requests begun", int(requests.Load()), 0)
+				want(t, "requests started at the upstream", int(requests.Load()), 0)
 			})
 		}
 	}
