--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -19,31 +19,31 @@
 )
 
 // toldAfter is when what a silent watch misses counts as told, counted from the end of its wait.
-const toldAfter = 2 * time.Second
+const changeGracePeriod = 2 * time.Second
 
 // followSilent follows a discovery that gives the same answer to each call and then nothing. It returns how long the
 // call was to wait, what was heard, and after how long.
-func followSilent(t *testing.T, answer string) (wait time.Duration, x listUpdate, took time.Duration) {
-	heard, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
-	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(x listUpdate) { heard <- x })
+func watchUntilSilent(t *testing.T, answer string) (wait time.Duration, update listUpdate, took time.Duration) {
+	updates, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
+	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(update listUpdate) { updates <- update })
 	defer d.shutdown()
 	d.client.Transport = &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
-		ours, theirs := net.Pipe()
+		clientEnd, serverEnd := net.Pipe()
 		go func() {
-			if r, err := http.ReadRequest(bufio.NewReader(theirs)); err == nil {
+			if r, err := http.ReadRequest(bufio.NewReader(serverEnd)); err == nil {
 				ms, _ := strconv.Atoi(r.FormValue("timeout_ms"))
 				waits <- time.Duration(ms) * time.Millisecond
 			}
-			io.WriteString(theirs, answer)
-			io.Copy(io.Discard, theirs)
+			io.WriteString(serverEnd, answer)
+			io.Copy(io.Discard, serverEnd)
 		}()
-		return ours, nil
+		return clientEnd, nil
 	}}
 	d.recordRevision(10)
-	began := time.Now()
+	start := time.Now()
 	go d.watch(t.Context())
-	x = <-heard
-	return <-waits, x, time.Since(began)
+	update = <-updates
+	return <-waits, update, time.Since(start)
 }
 
 // A list that is malformed, cut short or without an end is not taken by half: it is a failed call. One that lacks its members
@@ -78,16 +78,16 @@
 
 // A watch that falls silent, before its answer or amid it, is found while there is still time to hear of what it misses
 // on a new one.
-func TestSilentWatchIsFoundInTime(t *testing.T) {
+func TestSilentWatchIsDetectedInTime(t *testing.T) {
 	for name, answer := range map[string]string{
 		"no answer":      "",
 		"half an answer": "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\":11,",
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wait, x, took := followSilent(t, answer)
-				if !errors.Is(x.err, errWatchSilent) || took < wait || took > wait+toldAfter/2 {
-					t.Errorf("%v after %v; what it misses counts as told after %v", x.err, took, wait+toldAfter)
+				wait, x, took := watchUntilSilent(t, answer)
+				if !errors.Is(x.err, errWatchSilent) || took < wait || took > wait+changeGracePeriod/2 {
+					t.Errorf("%v after %v; what it misses counts as told after %v", x.err, took, wait+changeGracePeriod)
 				}
 			})
 		})
@@ -96,15 +96,15 @@
 
 // Watches that were opened at one moment and fall silent together are found so one by one: discovery answers calls in
 // turn, and for the last of fourteen at once the answer came too late.
-func TestSilentWatchesAreFoundOneByOne(t *testing.T) {
+func TestSilentWatchesAreDetectedAtDifferentTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var found []time.Duration
+		var detected []time.Duration
 		for range 60 {
-			_, _, took := followSilent(t, "")
-			found = append(found, took)
+			_, _, took := watchUntilSilent(t, "")
+			detected = append(detected, took)
 		}
-		slices.Sort(found)
-		if spread := found[len(found)-1] - found[0]; spread < discoveryWatchTimeout/5 {
+		slices.Sort(detected)
+		if spread := detected[len(detected)-1] - detected[0]; spread < discoveryWatchTimeout/5 {
 			t.Errorf("all within %v", spread)
 		}
 	})
@@ -116,7 +116,7 @@
 	const fleet = 1024
 	s := newServer(t, okAll)
 	b := newBalancerWith(t, func(c *Config) {
-		c.Plan = configOf(t, c.Discovery, nil, `"balancers":1`, fmt.Sprint(`"balancers":`, fleet)).Plan
+		c.Plan = parsedConfigWith(t, c.Discovery, nil, `"balancers":1`, fmt.Sprint(`"balancers":`, fleet)).Plan
 		c.MemoryMB, c.Sockets = 32, 256
 	})
 	var list []member
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -15,7 +15,7 @@
 )
 
 // inherit returns a descriptor of its own for a socket, as a process inherits one.
-func inherit(t *testing.T, from interface{ File() (*os.File, error) }) int {
+func duplicateDescriptor(t *testing.T, from interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := from.File()
 	if err != nil {
@@ -54,8 +54,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, fd := range map[string]int{"a connection": inherit(t, c.(*net.TCPConn)), "a file": plain,
-		"a packet socket": inherit(t, packets.(*net.UDPConn)), "nothing": 1 << 20} {
+	for what, fd := range map[string]int{"a connection": duplicateDescriptor(t, c.(*net.TCPConn)), "a file": plain,
+		"a packet socket": duplicateDescriptor(t, packets.(*net.UDPConn)), "nothing": 1 << 20} {
 		if l, err := Listen(&Config{InheritedFD: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
 			t.Errorf("%s: got %v, %v", what, l, err)
 		}
@@ -65,11 +65,11 @@
 			t.Errorf("RELAY_INHERITED_FD=%q is taken", fd)
 		}
 	}
-	heir, err := Listen(&Config{InheritedFD: inherit(t, l.(*net.TCPListener))})
+	inherited, err := Listen(&Config{InheritedFD: duplicateDescriptor(t, l.(*net.TCPListener))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	heir.Close()
+	inherited.Close()
 	again, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatalf("the socket ended with one of its listeners: %v", err)
@@ -88,7 +88,7 @@
 }
 
 // Whatever stands in the file, a start goes on, and the next order is kept whole.
-func TestSpoiltOrdersHoldUpNoStart(t *testing.T) {
+func TestInvalidStateFileDoesNotPreventStart(t *testing.T) {
 	for what, text := range map[string]string{"empty": "", "cut short": `{"out_of_service":true,"offl`, "no JSON": "\x00\xff",
 		"another form": `{"offline":{"s-1":true}}`, "endless": strings.Repeat("[", maxOrdersBytes+10)} {
 		dir := t.TempDir()
@@ -108,7 +108,7 @@
 }
 
 // Two processes of one balancer know of each other, and what one is told the other hears of; calls at both add up.
-func TestOrdersOfTwoProcesses(t *testing.T) {
+func TestProcessesShareOrders(t *testing.T) {
 	dir := t.TempDir()
 	a := openTestStateFile(t, dir)
 	want(t, "alone at first", a.alone(), true)
@@ -146,10 +146,10 @@
 }
 
 // Two calls cross: the one that was noted first has its turn in the loop last. It does not undo the other one.
-func TestOrdersThatCross(t *testing.T) {
+func TestConcurrentOrdersBothApply(t *testing.T) {
 	s := newServer(t, okAll)
-	h := newHand(t)
-	h.list(20, up("s-00000001", s), up("s-00000002", s))
+	h := newTestLoop(t)
+	h.setMembers(20, up("s-00000001", s), up("s-00000002", s))
 	c, err := load(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -160,40 +160,40 @@
 	}
 	defer listener.Close()
 	d := newAdminServer(h.loop, newFrontend(&c, listener, h.loop), openTestStateFile(t, t.TempDir()))
-	said := make(chan error, 2)
-	order := func(id string) adminLoopCall {
+	results := make(chan error, 2)
+	queueOrder := func(id string) adminLoopCall {
 		go func() {
-			said <- d.updateOrders(t.Context(), func(o *operatorOrders) {
+			results <- d.updateOrders(t.Context(), func(o *operatorOrders) {
 				o.Offline, o.OutOfService = append(o.Offline, id), id == "s-00000002"
 			})
 		}()
 		return <-h.adminCalls
 	}
-	first := order("s-00000001")
-	second := order("s-00000002")
+	first := queueOrder("s-00000001")
+	second := queueOrder("s-00000002")
 	second.apply(h.loop)
 	first.apply(h.loop)
 	for range 2 {
-		want(t, "a call's answer", <-said, nil)
+		want(t, "a call's answer", <-results, nil)
 	}
 	want(t, "left out", len(h.inMaintenance), 2)
 	want(t, "drained", d.front.closeAfterResponse(), true)
 }
 
 // succeed starts another process of b, on the same socket and beside it. Its discovery has told nothing yet.
-func (b *balancer) succeed(t *testing.T, l net.Listener, members ...member) *balancer {
+func (b *balancer) startSuccessor(t *testing.T, l net.Listener, members ...member) *balancer {
 	t.Helper()
 	admin := freeAddress(t)
-	heir := newBalancerWith(t, func(c *Config) {
-		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, inherit(t, l.(*net.TCPListener))
+	successor := newBalancerWith(t, func(c *Config) {
+		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, duplicateDescriptor(t, l.(*net.TCPListener))
 	}, members...)
-	heir.url = "http://" + l.Addr().String()
-	return heir
+	successor.url = "http://" + l.Addr().String()
+	return successor
 }
 
 // One process takes over from another under load: no request meets a refused or reset connection, what was taken is
 // answered, and what operators called for holds in both, whichever was told.
-func TestReplacementLosesNothing(t *testing.T) {
+func TestHandoverLosesNoRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -211,28 +211,28 @@
 		for range s.arrivals {
 		}
 	}()
-	worked := newServer(t, func(c net.Conn, _ *http.Request) bool { return ok(c, "never") })
-	members := []member{up("s-00000001", s), up("s-00000002", worked)}
+	offline := newServer(t, func(c net.Conn, _ *http.Request) bool { return ok(c, "never") })
+	members := []member{up("s-00000001", s), up("s-00000002", offline)}
 	first := &balancer{config: Config{StateDir: t.TempDir()}}
-	old := first.succeed(t, l, members...)
+	old := first.startSuccessor(t, l, members...)
 	old.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	old.until(t, "ready", func() bool { return old.call(t, "GET", "/control/ready") == 200 })
 	want(t, "out", old.call(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
 
-	taken := old.connect(t)
-	taken.send(t, old.ask("checkin", "", "X-Hold", "1"))
+	inFlight := old.connect(t)
+	inFlight.send(t, old.ask("checkin", "", "X-Hold", "1"))
 	old.until(t, "the request is with the server", held.Load)
-	heir := old.succeed(t, l, members...)
-	heir.until(t, "an admin listener that says no without a list", func() bool { return heir.call(t, "GET", "/control/ready") == 503 })
-	want(t, "it asks for the whole list, which is told at once", <-heir.registry.calls, "")
-	heir.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	heir.until(t, "the new one is ready", func() bool { return heir.call(t, "GET", "/control/ready") == 200 })
+	successor := old.startSuccessor(t, l, members...)
+	successor.until(t, "an admin listener that says no without a list", func() bool { return successor.call(t, "GET", "/control/ready") == 503 })
+	want(t, "it asks for the whole list, which is told at once", <-successor.registry.calls, "")
+	successor.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
+	successor.until(t, "the new one is ready", func() bool { return successor.call(t, "GET", "/control/ready") == 200 })
 	// Told to the new one while both take connections: it holds in both from the yes on.
-	want(t, "drain", heir.call(t, "PUT", "/control/out-of-service"), 200)
+	want(t, "drain", successor.call(t, "PUT", "/control/out-of-service"), 200)
 	for range 20 {
 		want(t, "health in the drain", old.health(t), 503)
 	}
-	want(t, "back", heir.call(t, "PUT", "/control/in-service"), 200)
+	want(t, "back", successor.call(t, "PUT", "/control/in-service"), 200)
 	for range 20 {
 		want(t, "health", old.health(t), 200)
 	}
@@ -244,33 +244,33 @@
 	resp := idle.answer(t)
 	want(t, "on a kept connection", resp.StatusCode, 200)
 	for range 50 { // until the old one has closed what it had, and beyond
-		c := heir.connect(t)
-		c.send(t, heir.ask("read", ""))
+		c := successor.connect(t)
+		c.send(t, successor.ask("read", ""))
 		want(t, "on a new connection", c.answer(t).StatusCode, 200)
 	}
 	close(hold)
-	resp = taken.answer(t)
+	resp = inFlight.answer(t)
 	want(t, "taken by the old one", resp.StatusCode, 200)
 	if err := <-old.ended; err != nil {
 		t.Error(err)
 	}
 	old.ended <- nil
-	want(t, "health of the new one", heir.health(t), 200)
+	want(t, "health of the new one", successor.health(t), 200)
 	select {
-	case r := <-worked.arrivals:
+	case r := <-offline.arrivals:
 		t.Errorf("sent to an upstream in maintenance: %s", r.URL)
 	default:
 	}
-	want(t, "back from maintenance", heir.call(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
-	heir.until(t, "used again", func() bool {
-		_, body := heir.do(t, heir.ask("read", ""))
+	want(t, "back from maintenance", successor.call(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
+	successor.until(t, "used again", func() bool {
+		_, body := successor.do(t, successor.ask("read", ""))
 		return body == "never"
 	})
 }
 
 // A balancer that was drained before its process was replaced is drained after it, and yet ready; SIGTERM ends it as
 // any other.
-func TestDrainOutlivesTheProcess(t *testing.T) {
+func TestDrainSurvivesRestart(t *testing.T) {
 	s := newServer(t, okAll)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -283,7 +283,7 @@
 		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"fields are passed over"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b := first.succeed(t, l, members...)
+	b := first.startSuccessor(t, l, members...)
 	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.until(t, "ready", func() bool { return b.call(t, "GET", "/control/ready") == 200 })
 	want(t, "health", b.health(t), 503)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -13,13 +13,13 @@
 )
 
 // hand is a loop that a test turns by hand.
-type hand struct {
+type testLoop struct {
 	*loop
 	t    *testing.T
 	plan *garnettide.Plan
 }
 
-func newHand(t *testing.T) *hand {
+func newTestLoop(t *testing.T) *testLoop {
 	t.Helper()
 	c, err := load(t, configText, nil)
 	if err != nil {
@@ -29,22 +29,22 @@
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
 	l.Watch(false) // nothing listens there
-	return &hand{l, t, c.Plan}
+	return &testLoop{l, t, c.Plan}
 }
 
-func (h *hand) list(revision uint64, members ...member) {
+func (h *testLoop) setMembers(revision uint64, members ...member) {
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
 }
 
 // ask sends a request and turns the loop until it is answered and its attempts are over.
-func (h *hand) ask(name string, budget time.Duration) clientResponse {
+func (h *testLoop) roundTrip(name string, timeout time.Duration) clientResponse {
 	h.t.Helper()
 	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
-	r.Class, r.Budget = "checkin", budget
+	r.Class, r.Budget = "checkin", timeout
 	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
-	for len(h.requests) > 0 || h.busy() {
+	for len(h.requests) > 0 || h.hasAttemptsInFlight() {
 		select {
 		case e := <-h.events:
 			e.apply(h.loop)
@@ -56,7 +56,7 @@
 	return <-r.responseCh
 }
 
-func (h *hand) busy() bool {
+func (h *testLoop) hasAttemptsInFlight() bool {
 	for _, p := range h.upstreams {
 		if len(p.inFlight) > 0 {
 			return true
@@ -67,18 +67,18 @@
 
 // Thousands of upstreams come and go under new ids, each at the address of the one before, with ever new requests: what
 // the loop keeps returns to its size, and no connection crosses over from an old id to a new one.
-func TestStateReturnsToItsSize(t *testing.T) {
+func TestUpstreamTurnoverLeavesNoState(t *testing.T) {
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { return ok(c, r.Header.Get("X-Request-Id")) })
 	go func() {
 		for range s.arrivals {
 		}
 	}()
-	h := newHand(t)
+	h := newTestLoop(t)
 	const ids = 2000
 	for i := range ids {
-		h.list(uint64(i+100), up(fmt.Sprintf("s-%08x", i), s))
+		h.setMembers(uint64(i+100), up(fmt.Sprintf("s-%08x", i), s))
 		name := fmt.Sprintf("%016x", i)
-		a := h.ask(name, 4*time.Second)
+		a := h.roundTrip(name, 4*time.Second)
 		if a.status != 200 || string(a.body) != name {
 			t.Fatalf("request %d: got %d, %q", i, a.status, a.body)
 		}
@@ -95,76 +95,76 @@
 	if n := len(h.timers); n > 5 { // the module's own timers
 		t.Errorf("alarms: %d are left", n)
 	}
-	h.list(90000, draining(up("s-0fffffff", s)))
+	h.setMembers(90000, draining(up("s-0fffffff", s)))
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
 	want(t, "numbers after the removal of what was never listed", len(h.upstreamIDs.ids), 1)
 }
 
 // At the bound of connections the one that idles longest makes room, at whatever upstream: the one that is asked is not
 // to blame.
-func TestIdleConnectionMakesRoom(t *testing.T) {
+func TestOldestIdleConnectionIsEvicted(t *testing.T) {
 	one, two := newServer(t, okAll), newServer(t, okAll)
-	h := newHand(t)
+	h := newTestLoop(t)
 	h.maxConns = 1
-	h.list(20, up("s-00000001", one))
-	want(t, "first", h.ask("1", time.Second).status, 200)
-	h.list(21, up("s-00000001", one), up("s-00000002", two))
+	h.setMembers(20, up("s-00000001", one))
+	want(t, "first", h.roundTrip("1", time.Second).status, 200)
+	h.setMembers(21, up("s-00000001", one), up("s-00000002", two))
 	for i := 0; len(two.arrivals) == 0; i++ {
 		if i > 20 {
 			t.Fatal("the second upstream is never asked")
 		}
-		want(t, "next", h.ask(fmt.Sprint("a", i), time.Second).status, 200)
+		want(t, "next", h.roundTrip(fmt.Sprint("a", i), time.Second).status, 200)
 		want(t, "connections", h.connCount, 1)
 	}
 }
 
 // A second copy that comes behind an answer, in a segment of its own, is not taken for the next request's answer.
-func TestLateSecondCopyIsNotAnAnswer(t *testing.T) {
-	copied := make(chan struct{}, 2)
+func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
+	duplicated := make(chan struct{}, 2)
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		ok(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
 			time.Sleep(connReuseDelay / 2) // later than the answer, sooner than the connection has rested
 			ok(c, "1")
-			copied <- struct{}{}
+			duplicated <- struct{}{}
 		}
 		return true
 	})
-	h := newHand(t)
-	h.list(20, up("s-00000001", s))
-	want(t, "first", string(h.ask("1", time.Second).body), "1")
-	<-copied
-	want(t, "second", string(h.ask("2", time.Second).body), "2")
+	h := newTestLoop(t)
+	h.setMembers(20, up("s-00000001", s))
+	want(t, "first", string(h.roundTrip("1", time.Second).body), "1")
+	<-duplicated
+	want(t, "second", string(h.roundTrip("2", time.Second).body), "2")
 	want(t, "connections opened", s.opened(), 2)
 }
 
 // A connection rests for longer than second copies were seen to be late, and serves again behind that.
-func TestConnectionRestsBetweenTwoRequests(t *testing.T) {
+func TestConnReuseDelay(t *testing.T) {
 	s := newServer(t, okAll)
-	h := newHand(t)
-	h.list(20, up("s-00000001", s))
-	want(t, "first", h.ask("1", time.Second).status, 200)
+	h := newTestLoop(t)
+	h.setMembers(20, up("s-00000001", s))
+	want(t, "first", h.roundTrip("1", time.Second).status, 200)
 	p := h.upstreams[h.upstreamIDs.id("s-00000001")]
-	since := p.idleConns[0].idleAt
-	c, _ := h.acquireConn(p, since+4*time.Millisecond)
+	idleSince := p.idleConns[0].idleAt
+	c, _ := h.acquireConn(p, idleSince+4*time.Millisecond)
 	want(t, "used within the rest", c != nil, false)
-	c, _ = h.acquireConn(p, since+connReuseDelay)
+	c, _ = h.acquireConn(p, idleSince+connReuseDelay)
 	want(t, "used behind it", c != nil, true)
 }
 
 // An upstream that is gone with an attempt out is forgotten once that ends, and its connection is not kept.
-func TestGoneUpstreamEndsWithItsAttempt(t *testing.T) {
+func TestRemovedUpstreamIsDroppedAfterItsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
-	h := newHand(t)
-	h.list(20, up("s-00000001", s))
+	h := newTestLoop(t)
+	h.setMembers(20, up("s-00000001", s))
 	r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
 	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
 	<-s.arrivals
-	h.list(21, up("s-00000002", s))
+	h.setMembers(21, up("s-00000002", s))
 	want(t, "upstreams while it is out", len(h.upstreams), 2)
 	close(release)
 	(<-h.events).apply(h.loop)
@@ -174,29 +174,29 @@
 }
 
 // An attempt for which there is no connection was never sent, through no fault of the upstream's.
-func TestNoRoomIsMoot(t *testing.T) {
-	h := newHand(t)
+func TestAttemptOverConnLimitIsNotSent(t *testing.T) {
+	h := newTestLoop(t)
 	h.maxConns = 0
 	s := newServer(t, okAll)
-	h.list(20, up("s-00000001", s))
-	want(t, "status", h.ask("1", time.Second).status, http.StatusServiceUnavailable)
+	h.setMembers(20, up("s-00000001", s))
+	want(t, "status", h.roundTrip("1", time.Second).status, http.StatusServiceUnavailable)
 	want(t, "connections", h.connCount, 0)
 	want(t, "upstreams asked", s.opened(), 0)
 }
 
 // lateConns makes new connections come up only once they are let: begun tells of each that waits.
-func (h *hand) lateConns() (begun chan string, let chan struct{}) {
-	begun, let = make(chan string, 10), make(chan struct{})
+func (h *testLoop) delayConns() (dialing chan string, release chan struct{}) {
+	dialing, release = make(chan string, 10), make(chan struct{})
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
-		begun <- address
-		<-let
+		dialing <- address
+		<-release
 		return net.DialTimeout(network, address, timeout)
 	}
-	return begun, let
+	return dialing, release
 }
 
 // next turns the loop by one event.
-func (h *hand) next() {
+func (h *testLoop) applyNextEvent() {
 	h.t.Helper()
 	select {
 	case e := <-h.events:
@@ -208,9 +208,9 @@
 }
 
 // begin hands the loop a request and does not wait for its end.
-func (h *hand) begin(class, name string, budget time.Duration) *request {
+func (h *testLoop) startRequest(class, name string, timeout time.Duration) *request {
 	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
-	r.Class, r.Budget = class, budget
+	r.Class, r.Budget = class, timeout
 	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
@@ -219,29 +219,29 @@
 
 // A request that is over goes to no upstream any more: what of it waits for a connection as another copy is answered, as
 // the module gives it up, as its time runs out or as its client leaves is never written once the connection is up.
-func TestNothingIsSentOnceARequestIsOver(t *testing.T) {
-	for name, end := range map[string]func(h *hand, r *request){
-		"answered": func(h *hand, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
-		"given up": func(h *hand, r *request) { h.Refuse(r.ID, 0) },
-		"out of time": func(h *hand, r *request) {
+func TestClosedRequestIsNotWritten(t *testing.T) {
+	for name, end := range map[string]func(h *testLoop, r *request){
+		"answered": func(h *testLoop, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
+		"given up": func(h *testLoop, r *request) { h.Refuse(r.ID, 0) },
+		"out of time": func(h *testLoop, r *request) {
 			for !r.closed {
 				h.fireTimers()
 			}
 		},
-		"left": func(h *hand, r *request) { clientLeft{r}.apply(h.loop) },
+		"left": func(h *testLoop, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, okAll)
-			h := newHand(t)
-			begun, let := h.lateConns()
-			h.list(20, up("s-00000001", s))
-			r := h.begin("read", "1", 100*time.Millisecond)
-			<-begun
+			h := newTestLoop(t)
+			dialing, release := h.delayConns()
+			h.setMembers(20, up("s-00000001", s))
+			r := h.startRequest("read", "1", 100*time.Millisecond)
+			<-dialing
 			end(h, r)
 			h.reportPending()
 			want(t, "over", r.closed, true)
-			close(let)
-			h.next() // the attempt's end, with its connection
+			close(release)
+			h.applyNextEvent() // the attempt's end, with its connection
 			want(t, "requests written", len(s.arrivals), 0)
 			want(t, "connections kept", h.connCount, 1)
 			want(t, "requests open", len(h.requests), 0)
@@ -251,40 +251,40 @@
 }
 
 // clock sets the clock by which attempts are written.
-func (h *hand) clock() *atomic.Int64 {
-	var clock atomic.Int64
-	clock.Store(int64(h.now()))
-	h.transport.now = func() time.Duration { return time.Duration(clock.Load()) }
-	return &clock
+func (h *testLoop) fakeClock() *atomic.Int64 {
+	var fakeClock atomic.Int64
+	fakeClock.Store(int64(h.now()))
+	h.transport.now = func() time.Duration { return time.Duration(fakeClock.Load()) }
+	return &fakeClock
 }
 
 // repeats begins a keyed request at one upstream, sends it again at another one, and lets the two connections come up in an
 // order, with so much time gone by before the second. It returns how many were written.
-func repeats(t *testing.T, order [2]int, late time.Duration) int {
+func writeTwoAttempts(t *testing.T, connectOrder [2]int, delay time.Duration) int {
 	const window = time.Second
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	hang := func(net.Conn, *http.Request) bool { <-over; return false }
+	stop := make(chan struct{})
+	t.Cleanup(func() { close(stop) })
+	hang := func(net.Conn, *http.Request) bool { <-stop; return false }
 	servers := [2]*server{newServer(t, hang), newServer(t, hang)}
-	h := newHand(t)
-	up0, up1 := up("s-00000001", servers[0]), up("s-00000002", servers[1])
-	let := map[string]chan struct{}{servers[0].addr: make(chan struct{}), servers[1].addr: make(chan struct{})}
+	h := newTestLoop(t)
+	first, second := up("s-00000001", servers[0]), up("s-00000002", servers[1])
+	connect := map[string]chan struct{}{servers[0].addr: make(chan struct{}), servers[1].addr: make(chan struct{})}
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
-		<-let[address]
+		<-connect[address]
 		return net.DialTimeout(network, address, timeout)
 	}
-	clock := h.clock()
-	h.list(20, up0)
-	r := h.begin("pay", "1", 4*time.Second)
-	h.list(21, up0, up1)
-	h.Send(r.ID, h.upstreamIDs.id(up1.ID), 0, window)
-	clock.Store(int64(r.attempts[1].sentAt))
-	close(let[servers[order[0]].addr])
-	<-servers[order[0]].arrivals
-	clock.Add(int64(late))
-	close(let[servers[order[1]].addr])
+	fakeClock := h.fakeClock()
+	h.setMembers(20, first)
+	r := h.startRequest("pay", "1", 4*time.Second)
+	h.setMembers(21, first, second)
+	h.Send(r.ID, h.upstreamIDs.id(second.ID), 0, window)
+	fakeClock.Store(int64(r.attempts[1].sentAt))
+	close(connect[servers[connectOrder[0]].addr])
+	<-servers[connectOrder[0]].arrivals
+	fakeClock.Add(int64(delay))
+	close(connect[servers[connectOrder[1]].addr])
 	select {
-	case <-servers[order[1]].arrivals:
+	case <-servers[connectOrder[1]].arrivals:
 		return 2
 	case e := <-h.events: // it ended without
 		want(t, "how it ended", e.(attemptFinished).status, garnettide.NotSent)
@@ -294,7 +294,7 @@
 
 // What a window allows as an attempt is decided on has to hold as it is written: a connection may come up after it, and
 // that of the first attempt behind that of the second.
-func TestWindowHoldsAtTheWrite(t *testing.T) {
+func TestWriteDeadlineIsCheckedAtWrite(t *testing.T) {
 	for name, c := range map[string]struct {
 		order [2]int
 		late  time.Duration
@@ -306,38 +306,38 @@
 		"first last and late": {[2]int{1, 0}, time.Second, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			want(t, "attempts written", repeats(t, c.order, c.late), c.want)
+			want(t, "attempts written", writeTwoAttempts(t, c.order, c.late), c.want)
 		})
 	}
 }
 
 // What a request states of its time is what is left as it is written, and one whose time is over is not written.
-func TestTimeIsStatedAtTheWrite(t *testing.T) {
-	for late, stated := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
+func TestDeadlineHeaderIsSetAtWrite(t *testing.T) {
+	for delay, wantHeader := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
 		s := newServer(t, okAll)
-		h := newHand(t)
-		begun, let := h.lateConns()
-		clock := h.clock()
-		h.list(20, up("s-00000001", s))
-		r := h.begin("read", "1", time.Second)
-		<-begun
-		clock.Store(int64(r.attempts[0].responseDeadline - time.Second + late))
-		close(let)
-		h.next()
-		if stated == "" {
+		h := newTestLoop(t)
+		dialing, release := h.delayConns()
+		fakeClock := h.fakeClock()
+		h.setMembers(20, up("s-00000001", s))
+		r := h.startRequest("read", "1", time.Second)
+		<-dialing
+		fakeClock.Store(int64(r.attempts[0].responseDeadline - time.Second + delay))
+		close(release)
+		h.applyNextEvent()
+		if wantHeader == "" {
 			want(t, "requests written", len(s.arrivals), 0)
 		} else {
-			want(t, "time stated", (<-s.arrivals).Header.Get("X-Deadline-Ms"), stated)
+			want(t, "time stated", (<-s.arrivals).Header.Get("X-Deadline-Ms"), wantHeader)
 		}
 	}
 }
 
 // A list that has come goes before whatever is sent after it, each of several, and also where alarms that are due follow
 // one another.
-func TestListsGoBeforeWhatIsNotSent(t *testing.T) {
-	for name, turn := range map[string]func(h *hand, r *request){
-		"an event": func(h *hand, r *request) { h.handle(requestReceived{r}) },
-		"an alarm": func(h *hand, r *request) {
+func TestQueuedListsApplyBeforeSends(t *testing.T) {
+	for name, trigger := range map[string]func(h *testLoop, r *request){
+		"an event": func(h *testLoop, r *request) { h.handle(requestReceived{r}) },
+		"an alarm": func(h *testLoop, r *request) {
 			h.addTimer(loopTimer{at: h.now(), request: &request{attempts: []*attempt{{reported: true}}}})
 			h.fireTimers()
 			requestReceived{r}.apply(h.loop)
@@ -346,80 +346,80 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, okAll)
-			h := newHand(t)
+			h := newTestLoop(t)
 			one := up("s-00000001", s)
-			h.list(20, one)
+			h.setMembers(20, one)
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{draining(one)}}}
 			r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 			r.Class, r.Budget = "checkin", time.Second
 			r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
-			turn(h, r)
+			trigger(h, r)
 			want(t, "attempts", len(r.attempts), 0)
 		})
 	}
 }
 
 // toldConn tells of what goes to the upstream, in order, and holds up who reads its end.
-type toldConn struct {
+type recordingConn struct {
 	*net.TCPConn
-	name string
-	told chan string
-	hold chan struct{}
+	name         string
+	calls        chan string
+	releaseReads chan struct{}
 }
 
-func (c toldConn) Read(b []byte) (int, error) {
+func (c recordingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if err != nil {
-		<-c.hold
+		<-c.releaseReads
 	}
 	return n, err
 }
 
-func (c toldConn) Write(b []byte) (int, error) {
-	c.told <- c.name + " written"
+func (c recordingConn) Write(b []byte) (int, error) {
+	c.calls <- c.name + " written"
 	return c.TCPConn.Write(b)
 }
 
-func (c toldConn) CloseWrite() error {
-	c.told <- c.name + " given up"
+func (c recordingConn) CloseWrite() error {
+	c.calls <- c.name + " given up"
 	return c.TCPConn.CloseWrite()
 }
 
 // An attempt that is given up is over for its upstream before the next one is written, however late its connection's
 // reader comes to close it: two out at once are a second copy.
-func TestGivenUpBeforeTheNextIsWritten(t *testing.T) {
-	hold := make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-hold; return false })
-	h := newHand(t)
-	told, n := make(chan string, 10), 0
+func TestAbortPrecedesNextAttempt(t *testing.T) {
+	releaseReads := make(chan struct{})
+	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
+	h := newTestLoop(t)
+	calls, n := make(chan string, 10), 0
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		c, err := net.DialTimeout(network, address, timeout)
 		if err != nil {
 			return nil, err
 		}
 		n++ // one after another
-		return toldConn{c.(*net.TCPConn), fmt.Sprint(n), told, hold}, nil
+		return recordingConn{c.(*net.TCPConn), fmt.Sprint(n), calls, releaseReads}, nil
 	}
-	t.Cleanup(func() { close(hold) })
-	h.list(20, up("s-00000001", s))
-	r := h.begin("read", "1", 4*time.Second)
-	want(t, "first", <-told, "1 written")
+	t.Cleanup(func() { close(releaseReads) })
+	h.setMembers(20, up("s-00000001", s))
+	r := h.startRequest("read", "1", 4*time.Second)
+	want(t, "first", <-calls, "1 written")
 	<-s.arrivals
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	if len(r.attempts) == 1 { // the module waits for a turn
 		h.Send(r.ID, r.attempts[0].upstream.id, 0, 0)
 	}
-	want(t, "next", <-told, "1 given up")
-	want(t, "then", <-told, "2 written")
+	want(t, "next", <-calls, "1 given up")
+	want(t, "then", <-calls, "2 written")
 }
 
 // An attempt is given up in the moment in which its answer has come: its connection does not serve again.
-func TestGivenUpConnectionIsNotKept(t *testing.T) {
+func TestAbortedConnectionIsNotReused(t *testing.T) {
 	s := newServer(t, okAll)
-	h := newHand(t)
-	h.list(20, up("s-00000001", s))
-	r := h.begin("read", "1", 4*time.Second)
+	h := newTestLoop(t)
+	h.setMembers(20, up("s-00000001", s))
+	r := h.startRequest("read", "1", 4*time.Second)
 	e := <-h.events // the answer, which the loop has not heard of
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	e.apply(h.loop)
@@ -428,20 +428,20 @@
 
 // A watch that has fallen silent is opened anew at once, and so is the first one after discovery has moved: their news
 // soon counts as told. What fails is asked again when the module says so.
-func TestNewWatchAtOnce(t *testing.T) {
+func TestWatchIsReopenedImmediately(t *testing.T) {
 	for name, c := range map[string]struct {
-		happen  func(h *hand)
+		happen  func(h *testLoop)
 		watches bool
 	}{
-		"silent": {func(h *hand) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
-		"moved": {func(h *hand) {
+		"silent": {func(h *testLoop) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
+		"moved": {func(h *testLoop) {
 			h.stopWatch = func() {} // one is open
-			configReloaded{again(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
+			configReloaded{reloadOf(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
 		}, true},
-		"failed": {func(h *hand) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
+		"failed": {func(h *testLoop) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHand(t)
+			h := newTestLoop(t)
 			h.stopWatch = nil
 			c.happen(h)
 			want(t, "a new watch", h.stopWatch != nil, c.watches)
--- /dev/null
+++ b/internal/proxy/memnet_test.go
@@ -0,0 +1,594 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"garnettide"
+	"garnettide/internal/wire"
+)
+
+// A network within the process, for balancers whose clock is a bubble's of testing/synctest.
+
+// errRefused says that nobody listens.
+var errConnRefused = errors.New("connection refused")
+
+// memConn is one end of a connection within the process.
+type memConn struct {
+	net.Conn
+	peer      *memConn
+	closed    atomic.Bool
+	emptyPipe *os.File // an open pipe in which nothing ever comes
+}
+
+// memPipe returns the two ends of a connection.
+func memPipe(emptyPipe *os.File) (clientEnd, serverEnd *memConn) {
+	a, b := net.Pipe()
+	clientEnd, serverEnd = &memConn{Conn: a, emptyPipe: emptyPipe}, &memConn{Conn: b, emptyPipe: emptyPipe}
+	clientEnd.peer, serverEnd.peer = serverEnd, clientEnd
+	return clientEnd, serverEnd
+}
+
+func (c *memConn) Close() error {
+	c.closed.Store(true)
+	return c.Conn.Close()
+}
+
+func (c *memConn) SyscallConn() (syscall.RawConn, error) { return memRawConn{c}, nil }
+
+// memRaw shows whether the other end is closed. What it sends is not seen: a pipe holds nothing.
+type memRawConn struct{ *memConn }
+
+func (r memRawConn) Control(f func(fd uintptr)) error {
+	return r.Read(func(fd uintptr) bool { f(fd); return true })
+}
+func (r memRawConn) Write(func(fd uintptr) bool) error { return errors.ErrUnsupported }
+func (r memRawConn) Read(f func(fd uintptr) bool) error {
+	if r.peer.closed.Load() {
+		return io.EOF
+	}
+	raw, err := r.emptyPipe.SyscallConn()
+	if err != nil {
+		return err
+	}
+	return raw.Read(func(fd uintptr) bool { f(fd); return true })
+}
+
+// memListener takes connections that dial makes.
+type memListener struct {
+	conns     chan net.Conn
+	closed    chan struct{}
+	once      sync.Once
+	emptyPipe *os.File
+}
+
+func newMemListener(emptyPipe *os.File) *memListener {
+	return &memListener{conns: make(chan net.Conn), closed: make(chan struct{}), emptyPipe: emptyPipe}
+}
+
+func (l *memListener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.conns:
+		return c, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *memListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *memListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (l *memListener) dial() (net.Conn, error) {
+	clientEnd, serverEnd := memPipe(l.emptyPipe)
+	select {
+	case l.conns <- serverEnd:
+		return clientEnd, nil
+	case <-l.closed:
+		return nil, errConnRefused
+	}
+}
+
+// silentPipe is what memConn asks whether bytes have come.
+func newEmptyPipe(t *testing.T) *os.File {
+	t.Helper()
+	r, w, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.Close(); w.Close() })
+	return r
+}
+
+// memUpstream is an upstream within the process. It counts the requests that begin, by their first byte.
+type memUpstream struct {
+	address         string
+	requestsStarted atomic.Int32
+	respond         func(c net.Conn, r *http.Request) bool
+	serve           func(c net.Conn) // takes the place of reading requests for answer
+	emptyPipe       *os.File
+}
+
+func (u *memUpstream) dial() net.Conn {
+	clientEnd, serverEnd := memPipe(u.emptyPipe)
+	go func() {
+		defer serverEnd.Close()
+		if u.serve != nil {
+			u.serve(serverEnd)
+			return
+		}
+		for in := bufio.NewReader(serverEnd); ; {
+			if _, err := in.Peek(1); err != nil {
+				return
+			}
+			u.requestsStarted.Add(1)
+			r, err := http.ReadRequest(in)
+			if err != nil {
+				return
+			}
+			if io.Copy(io.Discard, r.Body); !u.respond(serverEnd, r) {
+				return
+			}
+		}
+	}()
+	return clientEnd
+}
+
+func (u *memUpstream) member(id string) member {
+	return member{ID: id, HostPort: u.address, Locality: "z1", Phase: "up", Size: 1}
+}
+
+// noDiscovery does not let a connection come up: there is no news but what a test tells.
+func dialBlocked(ctx context.Context, _, _ string) (net.Conn, error) {
+	<-ctx.Done()
+	return nil, ctx.Err()
+}
+
+// virtual is a loop and a front in a bubble, before upstreams within the process.
+type memBalancer struct {
+	*loop
+	cancel       context.CancelFunc
+	front        *frontend
+	memUpstreams map[string]*memUpstream
+	connectGate  chan struct{} // connections to upstreams come up once it is closed
+	emptyPipe    *os.File
+}
+
+// virtualConfig is a configuration without a list, with the settings that set leaves.
+func newMemBalancerConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
+	t.Helper()
+	c, err := load(t, configText, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings, _, err := wire.DecodeSettings([]byte(settingsText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.CachedList = discoveryList{}
+	set(&c, &settings)
+	if c.Plan, err = garnettide.NewPlan(settings, func() {}); err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+func newMemBalancer(t *testing.T, emptyPipe *os.File, dialDiscovery func(context.Context, string, string) (net.Conn, error),
+	set func(*Config, *garnettide.Settings)) *memBalancer {
+	t.Helper()
+	c := newMemBalancerConfig(t, set)
+	ctx, cancel := context.WithCancel(t.Context())
+	v := &memBalancer{loop: newLoop(ctx, &c), cancel: cancel, memUpstreams: map[string]*memUpstream{}, connectGate: make(chan struct{}), emptyPipe: emptyPipe}
+	v.discoveryClient.dial = dialDiscovery
+	v.transport.open = func(_, address string, _ time.Duration) (net.Conn, error) {
+		<-v.connectGate
+		return v.memUpstreams[address].dial(), nil
+	}
+	v.start(&c, nil)
+	v.front = newFrontend(&c, newMemListener(emptyPipe), v.loop)
+	go v.run()
+	return v
+}
+
+func (v *memBalancer) addUpstream(respond func(net.Conn, *http.Request) bool) *memUpstream {
+	u := &memUpstream{address: fmt.Sprintf("127.0.0.1:%d", 9000+len(v.memUpstreams)), respond: respond, emptyPipe: v.emptyPipe}
+	v.memUpstreams[u.address] = u
+	return u
+}
+
+func (v *memBalancer) sendList(revision uint64, members ...member) {
+	v.listUpdates <- listUpdate{from: v.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
+}
+
+// begun is how many requests have begun at all upstreams.
+func (v *memBalancer) requestsStarted() (n int) {
+	for _, u := range v.memUpstreams {
+		n += int(u.requestsStarted.Load())
+	}
+	return n
+}
+
+// A client that has gone is known to have within 0.1 s: no attempt begins later, be its request held, on its way to an
+// upstream whose connection is not up yet, to be repeated after a failure, or owed a second copy. With a client that stays
+// each of them begins.
+func TestNoAttemptStartsAfterClientLeaves(t *testing.T) {
+	const detectionLimit = 100 * time.Millisecond
+	for name, c := range map[string]struct {
+		class           string
+		requestsStarted int // by the time that the client goes
+		// meet brings a request to its state, and returns what lets the attempt in question begin.
+		prepare func(v *memBalancer, sendRequest func()) (startAttempt func())
+	}{
+		"held": {"checkin", 0, func(v *memBalancer, sendRequest func()) func() {
+			close(v.connectGate)
+			u := v.addUpstream(okAll)
+			sendRequest()
+			return func() { v.sendList(50, u.member("s-00000001")) }
+		}},
+		"its connection comes up late": {"checkin", 0, func(v *memBalancer, sendRequest func()) func() {
+			v.sendList(50, v.addUpstream(okAll).member("s-00000001"))
+			sendRequest()
+			return func() { close(v.connectGate) }
+		}},
+		"repeated": {"pay", 1, func(v *memBalancer, sendRequest func()) func() {
+			close(v.connectGate)
+			fail := make(chan struct{})
+			failFirst := func(c net.Conn, r *http.Request) bool {
+				if v.requestsStarted() == 1 {
+					<-fail
+					return false
+				}
+				return okAll(c, r)
+			}
+			v.sendList(50, v.addUpstream(failFirst).member("s-00000001"), v.addUpstream(failFirst).member("s-00000002"))
+			sendRequest()
+			return func() { close(fail) }
+		}},
+		"copied": {"pay", 1, func(v *memBalancer, sendRequest func()) func() {
+			close(v.connectGate)
+			neverRespond := func(c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }
+			v.sendList(50, v.addUpstream(neverRespond).member("s-00000001"), v.addUpstream(neverRespond).member("s-00000002"))
+			sendRequest()
+			return func() {} // in time the module takes the first one for silent
+		}},
+	} {
+		for _, leaves := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, leaves %v", name, leaves), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
+					clientEnd, serverEnd := memPipe(v.emptyPipe)
+					startAttempt := c.prepare(v, func() {
+						synctest.Wait() // the list
+						v.front.startClient(serverEnd)
+						key := ""
+						if c.class == "pay" {
+							key = "Idempotency-Key: 1\r\n"
+						}
+						fmt.Fprintf(clientEnd, "POST /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nX-Class: %s\r\n%sX-Deadline-Ms: 4000\r\n"+
+							"Content-Length: 0\r\n\r\n", c.class, c.class, key)
+						synctest.Wait()
+					})
+					want(t, "begun at first", v.requestsStarted(), c.requestsStarted)
+					if leaves {
+						clientEnd.Close()
+					} else {
+						go io.Copy(io.Discard, clientEnd)
+					}
+					time.Sleep(detectionLimit)
+					startAttempt()
+					time.Sleep(3 * time.Second)
+					synctest.Wait()
+					if leaves {
+						want(t, "begun once the client had gone", v.requestsStarted(), c.requestsStarted)
+					} else {
+						want(t, "begun while the client waits", v.requestsStarted(), c.requestsStarted+1)
+					}
+					clientEnd.Close()
+					time.Sleep(2 * lateResponseTimeout) // what hangs is given up
+					v.cancel()
+					time.Sleep(time.Second)
+				})
+			})
+		}
+	}
+}
+
+// The same for a request whose body is more than can be held: nobody reads its client on until an attempt takes the body.
+// The test counted one request that began 0.1 s after its client's close: the close lies behind bytes of the body, so that
+// no read shows it, and an attempt that was written went by what reading had shown. The system tells of it without a read.
+func TestNoAttemptStartsAfterClientOfLargeUploadLeaves(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+		close(v.connectGate)
+		u := v.addUpstream(okAll)
+		clientEnd, serverEnd := memPipe(v.emptyPipe)
+		v.front.startClient(serverEnd)
+		go fmt.Fprintf(clientEnd, "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nX-Class: checkin\r\nContent-Length: %d\r\n\r\n%s",
+			3*maxBufferedBody, make([]byte, 3*maxBufferedBody))
+		synctest.Wait()
+		clientEnd.Close()
+		time.Sleep(100 * time.Millisecond)
+		v.sendList(50, u.member("s-00000001"))
+		time.Sleep(10 * time.Second)
+		want(t, "begun once the client had gone", v.requestsStarted(), 0)
+		v.cancel()
+		time.Sleep(time.Second)
+	})
+}
+
+// meet opens a client's connection.
+func (v *memBalancer) connectClient() *memConn {
+	clientEnd, serverEnd := memPipe(v.emptyPipe)
+	v.front.startClient(serverEnd)
+	return clientEnd
+}
+
+// rest lets what hangs be given up, and ends all.
+func (v *memBalancer) expireAndStop() {
+	time.Sleep(2 * lateResponseTimeout)
+	v.cancel()
+	time.Sleep(time.Second)
+}
+
+// memDiscovery is a discovery within the process. It has one upstream, under a revision that a test raises.
+type memDiscovery struct {
+	listener        *memListener
+	mu              sync.Mutex
+	outage          func(ctx context.Context) (net.Conn, error) // what a call meets; nil: an answer
+	revision        uint64
+	revisionChanged chan struct{} // closed when the revision is raised, or discovery goes down
+	conns           map[net.Conn]bool
+	callDuration    time.Duration // of its time for a call: calls are served in turn
+	busyUntil       time.Time
+}
+
+// callWaits is how long a call may wait for its turn. Discovery works on it all the same.
+const maxQueueWait = 2 * time.Second
+
+func newMemDiscovery(t *testing.T, emptyPipe *os.File) *memDiscovery {
+	d := &memDiscovery{listener: newMemListener(emptyPipe), revision: 1, revisionChanged: make(chan struct{}), conns: map[net.Conn]bool{}}
+	s := &http.Server{Handler: d}
+	go s.Serve(d.listener)
+	t.Cleanup(func() { s.Close() })
+	return d
+}
+
+func (d *memDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
+	d.mu.Lock()
+	outage := d.outage
+	d.mu.Unlock()
+	if outage != nil {
+		return outage(ctx)
+	}
+	c, err := d.listener.dial()
+	if err == nil {
+		d.mu.Lock()
+		d.conns[c] = true
+		d.mu.Unlock()
+	}
+	return c, err
+}
+
+func (d *memDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	d.mu.Lock()
+	revisionChanged, upToDate := d.revisionChanged, r.FormValue("since") == fmt.Sprint(d.revision)
+	if now := time.Now(); d.busyUntil.Before(now) {
+		d.busyUntil = now
+	}
+	d.busyUntil = d.busyUntil.Add(d.callDuration)
+	queueWait := time.Until(d.busyUntil)
+	d.mu.Unlock()
+	if queueWait > maxQueueWait {
+		time.Sleep(maxQueueWait)
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	time.Sleep(queueWait)
+	if ms, _ := strconv.Atoi(r.FormValue("timeout_ms")); upToDate && ms > 0 {
+		select {
+		case <-revisionChanged:
+		case <-time.After(time.Duration(ms) * time.Millisecond):
+		case <-r.Context().Done():
+			return
+		}
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	fmt.Fprintf(w, `{"revision":%d,"complete":true,"members":[{"id":"s-00000001","host_port":"127.0.0.1:1","phase":"up"}]}`, d.revision)
+}
+
+// lose ends all connections; calls meet down from here on.
+func (d *memDiscovery) startOutage(outage func(context.Context) (net.Conn, error)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.outage = outage
+	for c := range d.conns {
+		c.Close()
+		delete(d.conns, c)
+	}
+}
+
+// back makes discovery reachable, with news.
+func (d *memDiscovery) endOutage() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.outage = nil
+	d.revision++
+	close(d.revisionChanged)
+	d.revisionChanged = make(chan struct{})
+}
+
+// A balancer has the news 6 s after discovery can be reached again, however its calls have ended meanwhile: refused, given
+// up because no connection comes up, failed or reset; with no list of its discovery yet, also given up for want of an
+// answer. With one, a call that is taken and not answered is a silent watch, which has a clock of its own.
+func TestDiscoveryRecoversAfterFailedCalls(t *testing.T) {
+	const deliveryLimit = 6 * time.Second
+	respondAfter := func(delay time.Duration, text string) func(context.Context) (net.Conn, error) {
+		return func(context.Context) (net.Conn, error) {
+			clientEnd, serverEnd := net.Pipe()
+			go func() {
+				http.ReadRequest(bufio.NewReader(serverEnd))
+				time.Sleep(delay)
+				io.WriteString(serverEnd, text)
+				serverEnd.Close()
+			}()
+			return clientEnd, nil
+		}
+	}
+	for name, c := range map[string]struct {
+		outage   func(context.Context) (net.Conn, error)
+		noAnswer bool
+	}{
+		"refused":       {func(context.Context) (net.Conn, error) { return nil, errConnRefused }, false},
+		"no connection": {func(ctx context.Context) (net.Conn, error) { return dialBlocked(ctx, "", "") }, false},
+		"failed":        {respondAfter(2*time.Second, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
+		"reset":         {respondAfter(time.Second, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"), false},
+		"no answer":     {respondAfter(time.Minute, ""), true},
+	} {
+		for _, newProcess := range []bool{false, true} {
+			if c.noAnswer && !newProcess {
+				continue
+			}
+			t.Run(fmt.Sprintf("%s, young %v", name, newProcess), func(t *testing.T) {
+				for _, outageLength := range []time.Duration{time.Second / 10, time.Second / 2, 4 * time.Second, 8 * time.Second, 21 * time.Second, 61 * time.Second} {
+					for seed := range uint64(4) {
+						synctest.Test(t, func(t *testing.T) {
+							d := newMemDiscovery(t, newEmptyPipe(t))
+							if newProcess {
+								d.startOutage(c.outage)
+							}
+							v := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(x *Config, s *garnettide.Settings) {
+								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
+								if newProcess { // its first call comes at once, and has no list to go on from
+									x.InheritedFD, s.Balancers = minInheritedFD, 1
+								}
+							})
+							if !newProcess {
+								time.Sleep(time.Minute)
+								want(t, "revision at first", v.appliedRevision(), 1)
+								d.startOutage(c.outage)
+							}
+							time.Sleep(outageLength)
+							d.endOutage()
+							time.Sleep(deliveryLimit)
+							if got := v.appliedRevision(); got != 2 {
+								t.Errorf("%v without discovery, seed %d: the news is not heard %v after its return", outageLength, seed, deliveryLimit)
+							}
+							v.cancel()
+							time.Sleep(2 * time.Minute) // the calls that still hang
+						})
+					}
+				}
+			})
+		}
+	}
+}
+
+// revisionHeld is that of the list that the loop goes by.
+func (v *memBalancer) appliedRevision() (revision int) {
+	done := make(chan struct{})
+	v.adminCalls <- adminLoopCall{fn: func(l *loop) { revision = int(l.revision) }, done: done}
+	<-done
+	return revision
+}
+
+// Nine in ten of the balancers that have been restarted at one moment, or replaced, are ready within 10 s: beside a
+// discovery that serves their calls in turn, and beside one that they can't reach, if they have a list from before.
+func TestRestartedBalancersAreReadyInTime(t *testing.T) {
+	const limit = 10 * time.Second
+	for name, c := range map[string]struct {
+		callDuration  time.Duration
+		outage        func(context.Context) (net.Conn, error)
+		hasCachedList bool
+	}{
+		"in turn":               {60 * time.Millisecond, nil, true},
+		"in turn, with no list": {30 * time.Millisecond, nil, false},
+		"refused":               {0, func(context.Context) (net.Conn, error) { return nil, errConnRefused }, true},
+		"silent":                {0, func(ctx context.Context) (net.Conn, error) { return dialBlocked(ctx, "", "") }, true},
+	} {
+		for _, replaced := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, replaced %v", name, replaced), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					const balancers = 100
+					emptyPipe := newEmptyPipe(t)
+					d := newMemDiscovery(t, emptyPipe)
+					d.callDuration, d.outage = c.callDuration, c.outage
+					ctx, stop := context.WithCancel(t.Context())
+					u := &memUpstream{address: "127.0.0.1:1", respond: okAll, emptyPipe: emptyPipe}
+					var ready atomic.Int32
+					var running, polling sync.WaitGroup
+					for rank := range balancers {
+						x := newMemBalancerConfig(t, func(x *Config, s *garnettide.Settings) {
+							x.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
+							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
+						})
+						if x.CachedList = (discoveryList{}); c.hasCachedList {
+							x.CachedList = discoveryList{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
+						}
+						if replaced {
+							x.InheritedFD = minInheritedFD
+						}
+						listener, loops := newMemListener(emptyPipe), make(chan *loop, 1)
+						running.Go(func() {
+							if err := run(ctx, x, listener, nil, func(l *loop) {
+								l.discoveryClient.dial = d.dial
+								l.transport.open = func(string, string, time.Duration) (net.Conn, error) { return u.dial(), nil }
+								loops <- l
+							}); err != nil {
+								t.Error(err)
+							}
+						})
+						polling.Go(func() {
+							l := <-loops
+							for start := time.Now(); time.Since(start) < limit; time.Sleep(100 * time.Millisecond) {
+								checked := make(chan struct{})
+								var reason string
+								l.adminCalls <- adminLoopCall{fn: func(l *loop) { reason = l.missing() }, done: checked}
+								<-checked
+								if reason == "" && healthy(listener) {
+									ready.Add(1)
+									break
+								}
+							}
+						})
+					}
+					polling.Wait()
+					if n := ready.Load(); n < balancers*9/10 {
+						t.Errorf("%d of %d are ready after %v", n, balancers, limit)
+					}
+					stop()
+					running.Wait()
+					time.Sleep(time.Minute)
+				})
+			})
+		}
+	}
+}
+
+// healthy tells whether a balancer says so on a connection of its own.
+func healthy(listener *memListener) bool {
+	c, err := listener.dial()
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return false
+	}
+	io.Copy(io.Discard, r.Body)
+	return r.StatusCode == http.StatusOK
+}
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -81,7 +81,7 @@
 		f.Add([]byte(text))
 	}
 	fe := &frontend{now: func() time.Duration { return 0 }, memory: newHolder()}
-	fe.plan.Store(configOf(f, "127.0.0.1:8500", nil, `"name":"read","target_us":2000000,"give_up_us":4000000`,
+	fe.plan.Store(parsedConfigWith(f, "127.0.0.1:8500", nil, `"name":"read","target_us":2000000,"give_up_us":4000000`,
 		`"name":"read","target_us":1000000,"give_up_us":1000000`, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 		`"name":"checkin","target_us":1000000,"give_up_us":1000000`).Plan)
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -158,7 +158,7 @@
 func newBalancerWith(t *testing.T, set func(*Config), members ...member) *balancer {
 	t.Helper()
 	g := newRegistry(t)
-	c := configOf(t, g.addr, members)
+	c := parsedConfigWith(t, g.addr, members)
 	set(&c)
 	l, err := Listen(&c)
 	if err != nil {
@@ -293,7 +293,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := newHand(t)
+		h := newTestLoop(t)
 		f := newFrontend(&c, l, h.loop)
 		raw, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -312,14 +312,14 @@
 	})
 	t.Run("before the loop hears of it", func(t *testing.T) {
 		s := newServer(t, okAll)
-		h := newHand(t)
-		begun, let := h.lateConns()
-		h.list(20, up("s-00000001", s))
-		r := h.begin("read", "1", time.Second)
+		h := newTestLoop(t)
+		begun, let := h.delayConns()
+		h.setMembers(20, up("s-00000001", s))
+		r := h.startRequest("read", "1", time.Second)
 		<-begun
 		r.clientGone.Store(true)
 		close(let)
-		h.next()
+		h.applyNextEvent()
 		want(t, "requests written", len(s.arrivals), 0)
 	})
 }
@@ -606,11 +606,11 @@
 	for _, c := range badClients() {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
-				close(v.gate)
-				v.tell(50, v.upstream(okAll).member("s-00000001"))
+				v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+				close(v.connectGate)
+				v.sendList(50, v.addUpstream(okAll).member("s-00000001"))
 				synctest.Wait()
-				ours, start := v.meet(), time.Now()
+				ours, start := v.connectClient(), time.Now()
 				go io.WriteString(ours, c.text)
 				got, _ := io.ReadAll(ours)
 				c.check(t, string(got))
@@ -618,8 +618,8 @@
 					t.Errorf("answered after %v", d)
 				}
 				ours.Close()
-				want(t, "begun", v.begun(), 0)
-				v.rest()
+				want(t, "begun", v.requestsStarted(), 0)
+				v.expireAndStop()
 			})
 		})
 	}
@@ -872,7 +872,7 @@
 	next := newRegistry(t)
 	c := b.config
 	c.Discovery = next.addr
-	b.reloads <- again(c)
+	b.reloads <- reloadOf(c)
 	want(t, "call at the new discovery", <-next.calls, "")
 	select { // the call at the old one has been ended; its answer, should it still be written, is too late
 	case b.registry.answers <- discoveryList{Revision: 30, Complete: true, Members: []member{up("s-00000001", one)}}:
@@ -899,7 +899,7 @@
 	old := l.discoveryClient
 	next := c
 	next.Discovery = "127.0.0.1:9"
-	configReloaded{again(next), nil}.apply(l)
+	configReloaded{reloadOf(next), nil}.apply(l)
 	l.applyListUpdate(listUpdate{from: old, discoveryList: discoveryList{Revision: 90, Complete: true}})
 	want(t, "upstreams after a late answer", len(l.upstreams), 1)
 	want(t, "revision after it", l.revision, uint64(0))
@@ -992,7 +992,7 @@
 		}
 	}
 	select {
-	case b.reloads <- again(c):
+	case b.reloads <- reloadOf(c):
 		<-next.calls // it has moved, and waits for the list
 	case <-time.After(10 * time.Second):
 		t.Error("the reload is not taken")
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -33,27 +33,27 @@
 )
 
 // configWith returns a configuration of settingsText in which old and new, in turn, are replaced.
-func configWith(t testing.TB, discovery string, members []member, replaced ...string) string {
+func configTextWith(t testing.TB, discovery string, members []member, replacements ...string) string {
 	t.Helper()
 	known, err := json.Marshal(discoveryList{Revision: 10, Complete: true, Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := settingsText
-	for i := 0; i < len(replaced); i += 2 {
-		if !strings.Contains(text, replaced[i]) {
-			t.Fatalf("no %s in the settings", replaced[i])
+	for i := 0; i < len(replacements); i += 2 {
+		if !strings.Contains(text, replacements[i]) {
+			t.Fatalf("no %s in the settings", replacements[i])
 		}
-		text = strings.Replace(text, replaced[i], replaced[i+1], 1)
+		text = strings.Replace(text, replacements[i], replacements[i+1], 1)
 	}
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, known, text)
 }
 
 // configOf is the Config of configWith.
-func configOf(t testing.TB, discovery string, members []member, replaced ...string) Config {
+func parsedConfigWith(t testing.TB, discovery string, members []member, replacements ...string) Config {
 	t.Helper()
-	c, err := decodeConfig(strings.NewReader(configWith(t, discovery, members, replaced...)), nil, func(*configFile) {})
+	c, err := decodeConfig(strings.NewReader(configTextWith(t, discovery, members, replacements...)), nil, func(*configFile) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,41 +61,41 @@
 }
 
 // again is a Reload of a configuration that the test has made.
-func again(c Config) Reload {
+func reloadOf(c Config) Reload {
 	return Reload{Discovery: c.Discovery, ConnTimeouts: c.ConnTimeouts, Plan: c.Plan}
 }
 
 // reloading is a running balancer whose process reads its configuration again on a signal.
-type reloading struct {
+type reloadableBalancer struct {
 	*balancer
-	path    string
-	hangups chan os.Signal
-	inForce chan string // the hash of each configuration as it goes in force, told on the loop
-	log     *lines
-	hold    atomic.Pointer[func(time.Duration)] // takes the place of the sleep between two slices
+	path          string
+	hangups       chan os.Signal
+	appliedHashes chan string // the hash of each configuration as it goes in force, told on the loop
+	log           *testLog
+	pauseHook     atomic.Pointer[func(time.Duration)] // takes the place of the sleep between two slices
 }
 
 // lines is a log that tests look into.
-type lines struct {
-	mu   sync.Mutex
-	text strings.Builder
-	came chan struct{} // a line has come since the last look
+type testLog struct {
+	mu      sync.Mutex
+	text    strings.Builder
+	written chan struct{} // a line has come since the last look
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *testLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case l.came <- struct{}{}:
+	case l.written <- struct{}{}:
 	default:
 	}
 	return l.text.Write(b)
 }
 
 // has waits for a line that has all of the words.
-func (l *lines) has(t *testing.T, words ...string) {
+func (l *testLog) waitForLine(t *testing.T, words ...string) {
 	t.Helper()
-	for limit := time.After(10 * time.Second); ; {
+	for timeout := time.After(10 * time.Second); ; {
 		l.mu.Lock()
 		text := l.text.String()
 		l.mu.Unlock()
@@ -109,59 +109,59 @@
 			}
 		}
 		select {
-		case <-l.came:
-		case <-limit:
+		case <-l.written:
+		case <-timeout:
 			t.Fatalf("no line with %q in the log:\n%s", words, text)
 		}
 	}
 }
 
 // count tells how many times a word stands in the log.
-func (l *lines) count(word string) int {
+func (l *testLog) count(word string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), word)
 }
 
 // newReloading starts a balancer that reloads; set changes its configuration at the start.
-func newReloading(t *testing.T, set func(*Config), members ...member) *reloading {
+func newReloadableBalancer(t *testing.T, set func(*Config), members ...member) *reloadableBalancer {
 	t.Helper()
-	r := &reloading{path: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
-		inForce: make(chan string, 10000), log: &lines{came: make(chan struct{}, 1)}}
+	r := &reloadableBalancer{path: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
+		appliedHashes: make(chan string, 10000), log: &testLog{written: make(chan struct{}, 1)}}
 	r.balancer = newBalancerWith(t, func(c *Config) {
 		c.OnConfigApplied = func(hash string, took time.Duration) {
 			if took < 0 || took > time.Minute {
 				t.Errorf("in force after %v", took)
 			}
-			r.inForce <- hash
+			r.appliedHashes <- hash
 		}
 		set(c)
 	}, members...)
-	follower := NewReloader(r.getenv, r.config)
-	follower.log = slog.New(slog.NewTextHandler(r.log, nil))
-	follower.sleep = func(d time.Duration) {
-		if hold := r.hold.Load(); hold != nil {
-			(*hold)(d)
+	reloader := NewReloader(r.getenv, r.config)
+	reloader.log = slog.New(slog.NewTextHandler(r.log, nil))
+	reloader.sleep = func(d time.Duration) {
+		if pauseHook := r.pauseHook.Load(); pauseHook != nil {
+			(*pauseHook)(d)
 		}
 	}
-	ctx, end := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { follower.Follow(ctx, r.hangups, r.reloads); close(over) }()
-	t.Cleanup(func() { end(); <-over })
+	ctx, cancel := context.WithCancel(context.Background())
+	finished := make(chan struct{})
+	go func() { reloader.Follow(ctx, r.hangups, r.reloads); close(finished) }()
+	t.Cleanup(func() { cancel(); <-finished })
 	return r
 }
 
-func (r *reloading) getenv(name string) string {
+func (r *reloadableBalancer) getenv(name string) string {
 	return map[string]string{"RELAY_CONFIG": r.path, "RELAY_OPERATOR": r.config.Operator}[name]
 }
 
 // write replaces the file by a configuration of settingsText in which old and new, in turn, are replaced.
-func (r *reloading) write(t *testing.T, replaced ...string) (hash string) {
+func (r *reloadableBalancer) writeConfig(t *testing.T, replacements ...string) (hash string) {
 	t.Helper()
-	return r.put(t, configWith(t, r.config.Discovery, nil, replaced...))
+	return r.writeConfigText(t, configTextWith(t, r.config.Discovery, nil, replacements...))
 }
 
-func (r *reloading) put(t *testing.T, text string) (hash string) {
+func (r *reloadableBalancer) writeConfigText(t *testing.T, text string) (hash string) {
 	t.Helper()
 	if err := os.WriteFile(r.path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -173,23 +173,23 @@
 }
 
 // reload replaces the file likewise, signals, and waits until it is in force.
-func (r *reloading) reload(t *testing.T, replaced ...string) {
+func (r *reloadableBalancer) reloadWith(t *testing.T, replacements ...string) {
 	t.Helper()
-	r.signal(t, r.write(t, replaced...))
+	r.signalAndWait(t, r.writeConfig(t, replacements...))
 }
 
 // signal signals and waits until the configuration of a hash is in force.
-func (r *reloading) signal(t *testing.T, hash string) {
+func (r *reloadableBalancer) signalAndWait(t *testing.T, hash string) {
 	t.Helper()
 	r.hangups <- syscall.SIGHUP
-	want(t, "in force", r.next(t), hash)
+	want(t, "in force", r.nextAppliedHash(t), hash)
 }
 
 // next waits for the next configuration in force.
-func (r *reloading) next(t *testing.T) string {
+func (r *reloadableBalancer) nextAppliedHash(t *testing.T) string {
 	t.Helper()
 	select {
-	case hash := <-r.inForce:
+	case hash := <-r.appliedHashes:
 		return hash
 	case <-time.After(20 * time.Second):
 		t.Fatalf("no configuration is in force in time:\n%s", r.log.text.String())
@@ -198,23 +198,23 @@
 }
 
 // added puts a class of a name, which must never run twice, in front of those of settingsText.
-func added(name string) []string {
+func addingClass(name string) []string {
 	return []string{`"profiles":[`, `"profiles":[{"name":"` + name +
 		`","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1},`}
 }
 
 // gone takes checkin out of settingsText.
-var gone = []string{`"worth":1},
+var removingCheckin = []string{`"worth":1},
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}]`, `"worth":1}]`}
 
 // A class that comes with a SIGHUP is served, one that goes is refused, limits and links are the new ones, and the log says
 // which configuration is in force, since when, and what it has changed.
-func TestSettingsAreInForceWithoutARestart(t *testing.T) {
+func TestReloadAppliesSettings(t *testing.T) {
 	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
 	status, _ := r.do(t, r.ask("parcel", ""))
 	want(t, "a class that is not set yet", status, 400)
-	r.reload(t, append(added("parcel"), append(gone, `"connect_timeout_us":500000`, `"connect_timeout_us":70000`,
+	r.reloadWith(t, append(addingClass("parcel"), append(removingCheckin, `"connect_timeout_us":500000`, `"connect_timeout_us":70000`,
 		`"keepalive_us":60000000`, `"keepalive_us":20000000`, `"max_attempts":3`,
 		`"max_attempts":2,"retry_after":true,"max_retry_after_us":5000`,
 		`"name":"read","target_us":2000000,"give_up_us":4000000`, `"name":"read","target_us":2000000,"give_up_us":2500000`,
@@ -234,22 +234,22 @@
 		want(t, "retry-after", l.settings.Limits.RetryAfter, true)
 		return true
 	})
-	r.log.has(t, "configuration in force", "took=", "classes_added=1 classes_changed=1 classes_gone=1",
+	r.log.waitForLine(t, "configuration in force", "took=", "classes_added=1 classes_changed=1 classes_gone=1",
 		"tenants_added=1 tenants_changed=0 tenants_gone=0")
 	text, err := os.ReadFile(r.path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	hash := fmt.Sprintf("%x", sha256.Sum256(text))[:12]
-	r.log.has(t, "configuration in force", "hash="+hash)
-	r.signal(t, hash)
-	r.log.has(t, "the file's bytes are the same", "hash="+hash)
+	r.log.waitForLine(t, "configuration in force", "hash="+hash)
+	r.signalAndWait(t, hash)
+	r.log.waitForLine(t, "the file's bytes are the same", "hash="+hash)
 	status, _ = r.do(t, r.ask("parcel", ""))
 	want(t, "after the same again", status, 200)
 }
 
 // The hash that a start logs is that of the file it has read.
-func TestHashOfTheStart(t *testing.T) {
+func TestConfigHashAtStart(t *testing.T) {
 	c, err := load(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -259,18 +259,18 @@
 
 // What is in hand ends as it was taken: a class that is gone is served to the end, and sent again where it may run twice;
 // nothing new of it is taken.
-func TestWhatIsInHandEndsByItsOwnTerms(t *testing.T) {
+func TestRemovedClassFinishesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	var asked atomic.Int32
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		<-release
 		return asked.Add(1) > 1 && okAll(c, r) // the first answer breaks off
 	})
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
 	keyed := r.connect(t)
 	keyed.send(t, r.ask("pay", ""))
 	<-s.arrivals
-	r.reload(t, `"name":"pay"`, `"name":"other"`, `"give_up_us":4000000`, `"give_up_us":2000000`)
+	r.reloadWith(t, `"name":"pay"`, `"name":"other"`, `"give_up_us":4000000`, `"give_up_us":2000000`)
 	status, _ := r.do(t, r.ask("pay", ""))
 	want(t, "a new request of the class that is gone", status, 400)
 	close(release)
@@ -279,14 +279,14 @@
 }
 
 // A deadline that is changed while requests are in hand is that of the next ones. Each request ends once, in time.
-func TestDeadlineOfWhatIsInHandStays(t *testing.T) {
+func TestReloadKeepsDeadlinesInFlight(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	s := newServer(t, func(net.Conn, *http.Request) bool { <-release; return false })
-	h := newHand(t)
-	h.list(20, up("s-00000001", s), up("s-00000002", s))
-	begin := func(name string, budget time.Duration) *request {
-		r := h.begin("checkin", name, budget)
+	h := newTestLoop(t)
+	h.setMembers(20, up("s-00000001", s), up("s-00000002", s))
+	startRequest := func(name string, budget time.Duration) *request {
+		r := h.startRequest("checkin", name, budget)
 		for limit := time.Now().Add(10 * time.Second); len(s.arrivals) == 0; h.fireTimers() {
 			if time.Now().After(limit) {
 				t.Fatal("request " + name + " is not sent")
@@ -295,12 +295,12 @@
 		<-s.arrivals
 		return r
 	}
-	before := begin("1", 4*time.Second)
-	shorter := configOf(t, "127.0.0.1:8500", nil, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
+	before := startRequest("1", 4*time.Second)
+	shorter := parsedConfigWith(t, "127.0.0.1:8500", nil, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 		`"name":"checkin","target_us":500000,"give_up_us":1000000`)
-	configReloaded{again(shorter), nil}.apply(h.loop)
+	configReloaded{reloadOf(shorter), nil}.apply(h.loop)
 	h.clockBase += time.Second // the module takes turns for short at first
-	after := begin("2", time.Second)
+	after := startRequest("2", time.Second)
 	h.clockBase += 1100 * time.Millisecond
 	h.fireTimers()
 	want(t, "the new one has ended", len(after.responseCh), 1)
@@ -313,14 +313,14 @@
 
 // A request is read by the settings before a reload, and heard by the loop after it: the client is told to go on with its
 // body once its head has been checked, and does so when the new settings are in force.
-func TestRequestReadBeforeTheSwapAndHeardAfterIt(t *testing.T) {
+func TestReloadBetweenReadAndDispatch(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		replaced []string
 		status   int
 		sends    int
 	}{
-		{"class gone", gone, 503, 0},
+		{"class gone", removingCheckin, 503, 0},
 		{"unchanged", nil, 502, 1},
 		{"may run twice now, but has no key", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent"`,
 			`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"idempotency_key","group":"all","memory_span_us":9000000`}, 502, 1},
@@ -329,11 +329,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, func(net.Conn, *http.Request) bool { return false }) // it breaks off
-			r := newReloading(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
+			r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
 			raw := r.connect(t)
 			io.WriteString(raw, checkin("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
 			want(t, "asked to go on", raw.answer(t).StatusCode, 100)
-			r.reload(t, append([]string{`"az":"z1"`, `"az":"z2"`}, c.replaced...)...)
+			r.reloadWith(t, append([]string{`"az":"z1"`, `"az":"z2"`}, c.replaced...)...)
 			io.WriteString(raw, "body")
 			want(t, "status", raw.answer(t).StatusCode, c.status)
 			want(t, "attempts", len(s.arrivals), c.sends)
@@ -343,48 +343,48 @@
 }
 
 // A file that can't be read or is not valid changes nothing, and the log names it and what is wrong.
-func TestInvalidConfigurationChangesNothing(t *testing.T) {
+func TestInvalidReloadChangesNothing(t *testing.T) {
 	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-	r.reload(t, added("parcel")...)
-	in := func() (p *garnettide.Plan) {
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
+	r.reloadWith(t, addingClass("parcel")...)
+	currentPlan := func() (p *garnettide.Plan) {
 		r.loopSays(func(l *loop) bool { p = l.balancer.Plan(); return true })
 		return p
 	}
-	held := in()
-	good := configWith(t, r.config.Discovery, nil, added("parcel")...)
-	spoilt := func(old, new string) string {
-		if !strings.Contains(good, old) {
+	planBefore := currentPlan()
+	valid := configTextWith(t, r.config.Discovery, nil, addingClass("parcel")...)
+	replaced := func(old, new string) string {
+		if !strings.Contains(valid, old) {
 			t.Fatalf("no %s", old)
 		}
-		return strings.Replace(good, old, new, 1)
+		return strings.Replace(valid, old, new, 1)
 	}
-	tenants := func(list string) string { return spoilt(`"reporting"`, `"tenants":`+list+`,"reporting"`) }
+	withTenants := func(list string) string { return replaced(`"reporting"`, `"tenants":`+list+`,"reporting"`) }
 	for i, c := range []struct {
 		text  string
 		names []string
 	}{
 		{"", []string{"EOF"}},
 		{"{", []string{"EOF"}},
-		{good[:len(good)/2], []string{"settings", "EOF"}},
-		{good + "}", []string{"invalid character"}},
-		{strings.Replace(good, `"worth":1`, `"worth":`, 1), []string{"profiles", "invalid character"}},
+		{valid[:len(valid)/2], []string{"settings", "EOF"}},
+		{valid + "}", []string{"invalid character"}},
+		{strings.Replace(valid, `"worth":1`, `"worth":`, 1), []string{"profiles", "invalid character"}},
 		{"\x00\xff", []string{"invalid character"}},
 		{"[]", []string{"invalid character"}},
-		{spoilt(`"settings"`, `"other"`), []string{"settings are missing"}},
-		{spoilt(r.config.Discovery, "nowhere"), []string{"discovery"}},
-		{spoilt(`"balancers":1`, `"balancers":0`), []string{"Balancers"}},
-		{spoilt(`"max_attempts":3`, `"max_attempts":"3"`), []string{"max_attempts"}},
-		{spoilt(`"keepalive_us":60000000`, `"keepalive_us":0`), []string{"keepalive_us"}},
-		{spoilt(`"membership_mode":"on_request"`, `"membership_mode":"by hand"`), []string{"membership_mode", "by hand"}},
-		{spoilt(`"name":"pay"`, `"name":"read"`), []string{"profiles", "read", "twice"}},
-		{spoilt(`"repeat":"idempotency_key"`, `"repeat":"often"`), []string{"profiles", "pay", "often"}},
-		{spoilt(`"memory_span_us":9000000`, `"memory_span_us":0`), []string{"pay", "DedupWindow"}},
-		{spoilt(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":"2 s"`), []string{"checkin", "target_us"}},
-		{spoilt(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":0`), []string{"checkin", "LatencyTarget"}},
-		{tenants(`[{"name":"t1","quota_rps":1},{"name":"t1","quota_rps":1}]`), []string{"tenants", "t1", "twice"}},
-		{tenants(`[{"name":"t1","quota_rps":-1}]`), []string{"tenants", "t1", "Quota"}},
-		{tenants(`{"t1":1}`), []string{"tenants", "invalid character"}},
+		{replaced(`"settings"`, `"other"`), []string{"settings are missing"}},
+		{replaced(r.config.Discovery, "nowhere"), []string{"discovery"}},
+		{replaced(`"balancers":1`, `"balancers":0`), []string{"Balancers"}},
+		{replaced(`"max_attempts":3`, `"max_attempts":"3"`), []string{"max_attempts"}},
+		{replaced(`"keepalive_us":60000000`, `"keepalive_us":0`), []string{"keepalive_us"}},
+		{replaced(`"membership_mode":"on_request"`, `"membership_mode":"by hand"`), []string{"membership_mode", "by hand"}},
+		{replaced(`"name":"pay"`, `"name":"read"`), []string{"profiles", "read", "twice"}},
+		{replaced(`"repeat":"idempotency_key"`, `"repeat":"often"`), []string{"profiles", "pay", "often"}},
+		{replaced(`"memory_span_us":9000000`, `"memory_span_us":0`), []string{"pay", "DedupWindow"}},
+		{replaced(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":"2 s"`), []string{"checkin", "target_us"}},
+		{replaced(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":0`), []string{"checkin", "LatencyTarget"}},
+		{withTenants(`[{"name":"t1","quota_rps":1},{"name":"t1","quota_rps":1}]`), []string{"tenants", "t1", "twice"}},
+		{withTenants(`[{"name":"t1","quota_rps":-1}]`), []string{"tenants", "t1", "Quota"}},
+		{withTenants(`{"t1":1}`), []string{"tenants", "invalid character"}},
 	} {
 		path := r.path
 		if i%2 == 0 { // each by another name, so that a line can't be an older one's
@@ -392,32 +392,32 @@
 		}
 		old := r.path
 		r.path = path
-		r.put(t, c.text)
+		r.writeConfigText(t, c.text)
 		lines := r.log.count("the old one stays")
 		r.hangups <- syscall.SIGHUP
 		r.until(t, "a line", func() bool { return r.log.count("the old one stays") > lines })
-		r.log.has(t, append([]string{"the old one stays", filepath.Base(path)}, c.names...)...)
+		r.log.waitForLine(t, append([]string{"the old one stays", filepath.Base(path)}, c.names...)...)
 		r.path = old
 	}
 	os.Remove(r.path)
 	r.hangups <- syscall.SIGHUP
-	r.log.has(t, "the old one stays", r.path, "no such file")
-	want(t, "the plan in force", in(), held)
-	want(t, "configurations in force", len(r.inForce), 0)
+	r.log.waitForLine(t, "the old one stays", r.path, "no such file")
+	want(t, "the plan in force", currentPlan(), planBefore)
+	want(t, "configurations in force", len(r.appliedHashes), 0)
 	status, _ := r.do(t, r.ask("parcel", ""))
 	want(t, "still served", status, 200)
-	r.reload(t, added("letter")...)
+	r.reloadWith(t, addingClass("letter")...)
 	status, _ = r.do(t, r.ask("letter", ""))
 	want(t, "after a good one", status, 200)
 }
 
 // What can't change in a running process keeps its value, and the log names it. The rest of the file is in force.
-func TestWhatNeedsARestartIsNamed(t *testing.T) {
+func TestReloadLogsSettingsThatNeedRestart(t *testing.T) {
 	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-	r.reload(t)
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
+	r.reloadWith(t)
 	want(t, "nothing differs", r.log.count("next start"), 0)
-	text := configWith(t, r.config.Discovery, nil, added("parcel")...)
+	text := configTextWith(t, r.config.Discovery, nil, addingClass("parcel")...)
 	for _, x := range [][2]string{{`"name":"n0"`, `"name":"n9"`}, {`"listen":"127.0.0.1:0"`, `"listen":"127.0.0.1:1"`},
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"1"`}, {`"memory_mb":192`, `"memory_mb":64`}, {`"sockets":1024`, `"sockets":512`}} {
 		if !strings.Contains(text, x[0]) {
@@ -425,11 +425,11 @@
 		}
 		text = strings.Replace(text, x[0], x[1], 1)
 	}
-	r.signal(t, r.put(t, strings.Replace(text, `"seed"`, `"operator":"127.0.0.1:2","seed"`, 1)))
+	r.signalAndWait(t, r.writeConfigText(t, strings.Replace(text, `"seed"`, `"operator":"127.0.0.1:2","seed"`, 1)))
 	for _, x := range []string{"setting=name in_force=n0 in_file=n9", "setting=listen in_force=127.0.0.1:0 in_file=127.0.0.1:1",
 		`setting=operator in_force="" in_file=127.0.0.1:2`, "setting=seed in_force=8c1f30d27a5be964 in_file=1",
 		"setting=limits.memory_mb in_force=192 in_file=64", "setting=limits.sockets in_force=1024 in_file=512"} {
-		r.log.has(t, x)
+		r.log.waitForLine(t, x)
 	}
 	want(t, "lines", r.log.count("next start"), 6)
 	r.loopSays(func(l *loop) bool { want(t, "connections", l.maxConns, 1024/3); return true })
@@ -439,36 +439,36 @@
 
 // Reloads come faster than they can be taken. While one is being built its file is replaced, and signals come, again and again:
 // what goes in force next is the newest file, whole, and nothing older after it.
-func TestNewestOfABurstIsInForce(t *testing.T) {
+func TestReloadBurstAppliesNewestFile(t *testing.T) {
 	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-	fill := func(i int) []string { // enough for many slices; classes and tenants tell which file they are of
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
+	replacementsFor := func(i int) []string { // enough for many slices; classes and tenants tell which file they are of
 		var list strings.Builder
 		for k := range 5000 {
 			fmt.Fprintf(&list, `{"name":"t%d","quota_rps":%d},`, k, i)
 		}
 		fmt.Fprintf(&list, `{"name":"last","quota_rps":%d}`, i)
-		return append(added(fmt.Sprint("class", i)), `"reporting"`, `"tenants":[`+list.String()+`],"reporting"`)
+		return append(addingClass(fmt.Sprint("class", i)), `"reporting"`, `"tenants":[`+list.String()+`],"reporting"`)
 	}
 	hashes := map[string]int{}
-	building, build := make(chan struct{}), make(chan struct{})
-	hold := func(time.Duration) { building <- struct{}{}; <-build }
-	r.hold.Store(&hold)
-	hashes[r.write(t, fill(1)...)] = 1
+	paused, resume := make(chan struct{}), make(chan struct{})
+	pauseHook := func(time.Duration) { paused <- struct{}{}; <-resume }
+	r.pauseHook.Store(&pauseHook)
+	hashes[r.writeConfig(t, replacementsFor(1)...)] = 1
 	r.hangups <- syscall.SIGHUP
-	<-building // a part of it has been built
+	<-paused // a part of it has been built
 	for i := 2; i <= 6; i++ {
-		hashes[r.write(t, fill(i)...)] = i
+		hashes[r.writeConfig(t, replacementsFor(i)...)] = i
 		select {
 		case r.hangups <- syscall.SIGHUP:
 		default: // as the system's signals do: one is waiting
 		}
 	}
-	r.hold.Store(nil)
-	close(build)
-	want(t, "first in force", hashes[r.next(t)], 1)
-	want(t, "then the newest", hashes[r.next(t)], 6)
-	r.log.has(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
+	r.pauseHook.Store(nil)
+	close(resume)
+	want(t, "first in force", hashes[r.nextAppliedHash(t)], 1)
+	want(t, "then the newest", hashes[r.nextAppliedHash(t)], 6)
+	r.log.waitForLine(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
 	for i, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
 		got, _ := r.do(t, r.ask(i, "", "X-Tenant", "last"))
 		want(t, i, got, status)
@@ -476,7 +476,7 @@
 	// A flood of signals, with a new file for each, as fast as they can be written.
 	last := ""
 	for i := 7; i < 40; i++ {
-		last = r.write(t, fill(i)...)
+		last = r.writeConfig(t, replacementsFor(i)...)
 		hashes[last] = i
 		select {
 		case r.hangups <- syscall.SIGHUP:
@@ -484,7 +484,7 @@
 		}
 	}
 	for newest := 6; ; {
-		hash := r.next(t)
+		hash := r.nextAppliedHash(t)
 		if hashes[hash] < newest { // the same again: its signal came once the file had been read already
 			t.Errorf("%d is in force after %d", hashes[hash], newest)
 		}
@@ -498,28 +498,28 @@
 
 // While the loop takes nothing, signals and files go on: the reload that was built waits, none is lost, and behind it the
 // newest file is read.
-func TestReloadsWhileTheLoopIsHeldUp(t *testing.T) {
+func TestReloadsWhileLoopIsBlocked(t *testing.T) {
 	s := newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-	held, let := make(chan struct{}), make(chan struct{})
-	go r.loopSays(func(*loop) bool { close(held); <-let; return true })
-	<-held
-	first := r.write(t, added("a")...)
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
+	blocked, release := make(chan struct{}), make(chan struct{})
+	go r.loopSays(func(*loop) bool { close(blocked); <-release; return true })
+	<-blocked
+	first := r.writeConfig(t, addingClass("a")...)
 	r.hangups <- syscall.SIGHUP
 	r.until(t, "the signal is taken", func() bool { return len(r.hangups) == 0 })
 	var last string
 	for i := range 100 {
-		last = r.write(t, added(fmt.Sprint("b", i))...)
+		last = r.writeConfig(t, addingClass(fmt.Sprint("b", i))...)
 		select {
 		case r.hangups <- syscall.SIGHUP:
 		default:
 		}
 	}
-	want(t, "in force while the loop is held up", len(r.inForce), 0)
-	close(let)
-	hash := r.next(t)
+	want(t, "in force while the loop is held up", len(r.appliedHashes), 0)
+	close(release)
+	hash := r.nextAppliedHash(t)
 	for hash != last {
-		hash = r.next(t)
+		hash = r.nextAppliedHash(t)
 	}
 	status, _ := r.do(t, r.ask("b99", ""))
 	want(t, "the newest", status, 200)
@@ -529,7 +529,7 @@
 
 // SIGTERM and SIGHUP cross, in both orders: what was taken is answered, and what comes until the listener is closed goes by
 // the settings that are in force.
-func TestStopAndSettingsCross(t *testing.T) {
+func TestReloadedClassesDuringShutdown(t *testing.T) {
 	for _, stopFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) {
 			release := make(chan struct{})
@@ -539,9 +539,9 @@
 				}
 				return okAll(c, q)
 			})
-			r := newReloading(t, func(*Config) {}, up("s-00000001", s))
-			taken := r.connect(t)
-			taken.send(t, r.ask("checkin", ""))
+			r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
+			inFlight := r.connect(t)
+			inFlight.send(t, r.ask("checkin", ""))
 			<-s.arrivals
 			late := r.connect(t) // its request has begun when the stop comes, so it is waited for
 			io.WriteString(late, "POST /parcel")
@@ -549,12 +549,12 @@
 				r.cancel()
 				r.until(t, "the stop has begun", func() bool { return r.health(t) != 200 })
 			}
-			r.reload(t, append(added("parcel"), gone...)...)
+			r.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...)
 			r.cancel()
 			io.WriteString(late, "/x HTTP/1.1\r\nHost: x\r\nX-Class: parcel\r\nX-Request-Id: late\r\nContent-Length: 0\r\n\r\n")
 			want(t, "of the new class", late.answer(t).StatusCode, 200)
 			close(release)
-			want(t, "the request in hand", taken.answer(t).StatusCode, 200)
+			want(t, "the request in hand", inFlight.answer(t).StatusCode, 200)
 			if err := <-r.ended; err != nil {
 				t.Error(err)
 			}
@@ -564,12 +564,12 @@
 }
 
 // Settings and discovery change in one file: both are in force, and a late answer of the old discovery is none.
-func TestSettingsAndDiscoveryMoveTogether(t *testing.T) {
+func TestReloadChangesSettingsAndDiscovery(t *testing.T) {
 	one, two := newServer(t, okAll), newServer(t, okAll)
-	r := newReloading(t, func(*Config) {}, up("s-00000001", one))
+	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", one))
 	<-r.registry.calls
 	next := newRegistry(t)
-	r.signal(t, r.put(t, configWith(t, next.addr, nil, added("parcel")...)))
+	r.signalAndWait(t, r.writeConfigText(t, configTextWith(t, next.addr, nil, addingClass("parcel")...)))
 	want(t, "call at the new discovery", <-next.calls, "")
 	next.answers <- discoveryList{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
 	want(t, "its next call", since(<-next.calls), "since=3")
@@ -578,37 +578,37 @@
 	want(t, "requests at the old list's server", len(one.arrivals), 0)
 	want(t, "requests at the new one's", len(two.arrivals), 1)
 	// An invalid file moves nothing.
-	r.put(t, strings.Replace(configWith(t, r.config.Discovery, nil, added("letter")...), `"balancers":1`, `"balancers":0`, 1))
+	r.writeConfigText(t, strings.Replace(configTextWith(t, r.config.Discovery, nil, addingClass("letter")...), `"balancers":1`, `"balancers":0`, 1))
 	r.hangups <- syscall.SIGHUP
-	r.log.has(t, "the old one stays")
+	r.log.waitForLine(t, "the old one stays")
 	r.loopSays(func(l *loop) bool { want(t, "discovery", l.discoveryClient.address, next.addr); return true })
 }
 
 // A list and a reload come in the same moment, in both orders: both hold for the first request after them.
-func TestListAndSettingsInTheSameMoment(t *testing.T) {
+func TestSimultaneousListAndReload(t *testing.T) {
 	for _, listFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("list first ", listFirst), func(t *testing.T) {
 			one, two := newServer(t, okAll), newServer(t, okAll)
-			r := newReloading(t, func(*Config) {}, up("s-00000001", one))
+			r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", one))
 			<-r.registry.calls
-			held, let := make(chan struct{}), make(chan struct{})
-			go r.loopSays(func(*loop) bool { close(held); <-let; return true })
-			<-held // the loop stands still, and both come up
-			list := func() {
+			blocked, release := make(chan struct{}), make(chan struct{})
+			go r.loopSays(func(*loop) bool { close(blocked); <-release; return true })
+			<-blocked // the loop stands still, and both come up
+			answerWithList := func() {
 				r.registry.answers <- discoveryList{Revision: 12, Complete: true, Members: []member{up("s-00000002", two)}}
 				r.until(t, "the list waits", func() bool { return len(r.loop.listUpdates) == 1 })
 			}
 			if listFirst {
-				list()
+				answerWithList()
 			}
-			hash := r.write(t, added("parcel")...)
+			hash := r.writeConfig(t, addingClass("parcel")...)
 			r.hangups <- syscall.SIGHUP
 			r.until(t, "the reload waits", func() bool { return len(r.loop.events) == 1 })
 			if !listFirst {
-				list()
+				answerWithList()
 			}
-			close(let)
-			want(t, "in force", r.next(t), hash)
+			close(release)
+			want(t, "in force", r.nextAppliedHash(t), hash)
 			status, _ := r.do(t, r.ask("parcel", ""))
 			want(t, "of the new class", status, 200)
 			want(t, "requests at the server that left", len(one.arrivals), 0)
@@ -619,7 +619,7 @@
 
 // Two processes of one balancer each take their own SIGHUP, the older one last and while it ends: no request of the class that
 // came is lost once both have it, and what the older one has in hand is answered.
-func TestReplacementAndSettingsCross(t *testing.T) {
+func TestReloadDuringHandover(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -633,35 +633,35 @@
 		return okAll(c, r)
 	})
 	members, dir := []member{up("s-00000001", s)}, t.TempDir()
-	process := func() *reloading {
+	startProcess := func() *reloadableBalancer {
 		admin := freeAddress(t)
-		r := newReloading(t, func(c *Config) {
-			c.Operator, c.StateDir, c.InheritedFD = admin, dir, inherit(t, l.(*net.TCPListener))
+		r := newReloadableBalancer(t, func(c *Config) {
+			c.Operator, c.StateDir, c.InheritedFD = admin, dir, duplicateDescriptor(t, l.(*net.TCPListener))
 		}, members...)
 		r.url = "http://" + l.Addr().String()
 		return r
 	}
-	older := process()
+	older := startProcess()
 	<-older.registry.calls
 	older.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	older.until(t, "ready", func() bool { return older.call(t, "GET", "/control/ready") == 200 })
-	taken := older.connect(t)
-	taken.send(t, older.ask("checkin", ""))
+	inFlight := older.connect(t)
+	inFlight.send(t, older.ask("checkin", ""))
 	<-s.arrivals
-	newer := process()
+	newer := startProcess()
 	<-newer.registry.calls
-	newer.reload(t, append(added("parcel"), gone...)...) // before it is ready
+	newer.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...) // before it is ready
 	newer.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	newer.until(t, "ready", func() bool { return newer.call(t, "GET", "/control/ready") == 200 })
 	older.cancel() // the older one takes no more connections, and still takes its reload
-	older.reload(t, append(added("parcel"), gone...)...)
+	older.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...)
 	for range 20 {
 		c := newer.connect(t)
 		c.send(t, newer.ask("parcel", ""))
 		want(t, "on a new connection", c.answer(t).StatusCode, 200)
 	}
 	close(release)
-	want(t, "taken by the older one", taken.answer(t).StatusCode, 200)
+	want(t, "taken by the older one", inFlight.answer(t).StatusCode, 200)
 	if err := <-older.ended; err != nil {
 		t.Error(err)
 	}
@@ -679,7 +679,7 @@
 		for k := range 600 {
 			fmt.Fprintf(&tenants, `{"name":"t%04d-%03d","quota_rps":2.1},`, i, k)
 		}
-		text := configWith(t, "127.0.0.1:8500", nil, `"profiles":[`, `"profiles":[`+profiles.String(), `"reporting"`,
+		text := configTextWith(t, "127.0.0.1:8500", nil, `"profiles":[`, `"profiles":[`+profiles.String(), `"reporting"`,
 			`"tenants":[`+tenants.String()+`{"name":"last","quota_rps":1}],"reporting"`)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -698,7 +698,7 @@
 	r := NewReloader(getenv, c)
 	r.log = slog.New(slog.DiscardHandler)
 	c = Config{}
-	live := func() uint64 {
+	liveBytes := func() uint64 {
 		runtime.GC()
 		runtime.GC()
 		var m runtime.MemStats
@@ -728,10 +728,10 @@
 		l.clockBase += 2 * time.Second // all alarms are due, and the module's tick forgets what is gone
 		l.fireTimers()
 		if i == 10 || i == 60 || i == 110 { // what tests before this one have left may still go
-			early = min(early, live())
+			early = min(early, liveBytes())
 		}
 		if i == 900 || i == 950 || i == 1000 { // what grows has grown at each of these
-			late = min(late, live())
+			late = min(late, liveBytes())
 		}
 	}
 	t.Logf("live: %d KB after 10 to 110 reloads, %d KB after 900 to 1,000", early>>10, late>>10)
@@ -743,14 +743,14 @@
 
 // The work of reading a configuration again is cut into parts of a bounded size, whatever the file holds: between two of them
 // the loop can run.
-func TestReadingIsCutIntoSmallParts(t *testing.T) {
-	text := large(t, 400, 2000, 1)
+func TestConfigDecodingIsSliced(t *testing.T) {
+	text := largeConfigText(t, 400, 2000, 1)
 	text = strings.Replace(text, `"settings":{`, `"later":[`+strings.Repeat(`{"a":[1,2,{"b":"c"}]},`, 2000)+`0],"settings":{`, 1)
-	in := &counted{r: strings.NewReader(text)}
-	steps, last, most := 0, 0, 0
+	in := &countingReader{r: strings.NewReader(text)}
+	steps, lastRead, maxBytes := 0, 0, 0
 	d := wire.NewDecoder(in, func() {
 		steps++
-		most, last = max(most, in.n-last), in.n
+		maxBytes, lastRead = max(maxBytes, in.n-lastRead), in.n
 	})
 	plan := garnettide.NewPlanBuilder()
 	if err := d.Object(func(key string) error {
@@ -762,18 +762,18 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if steps < 2400+4000 || most > 4096 {
-		t.Errorf("%d steps; up to %d bytes between two of them", steps, most)
+	if steps < 2400+4000 || maxBytes > 4096 {
+		t.Errorf("%d steps; up to %d bytes between two of them", steps, maxBytes)
 	}
 }
 
 // counted counts what is read of r.
-type counted struct {
+type countingReader struct {
 	r io.Reader
 	n int
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingReader) Read(b []byte) (int, error) {
 	n, err := c.r.Read(b)
 	c.n += n
 	return n, err
@@ -781,7 +781,7 @@
 
 // A slice of work is followed by a pause of about its length, at the latest after some small steps; without pauses, as at the
 // start, there are none.
-func TestSlices(t *testing.T) {
+func TestWorkSlicerPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var pauses []time.Duration
 		s := &workSlicer{sliceStart: time.Now(), pause: func(d time.Duration) { pauses = append(pauses, d) }}
@@ -800,13 +800,13 @@
 			t.Errorf("%v of pauses in %v of work", total, work)
 		}
 	})
-	var none *workSlicer
-	none.step()
-	none.checkTime()
+	var nilSlicer *workSlicer
+	nilSlicer.step()
+	nilSlicer.checkTime()
 }
 
 // large is a configuration of many classes and tenants, of which the first tenant has a quota.
-func large(t testing.TB, classes, tenants int, quota float64) string {
+func largeConfigText(t testing.TB, classes, tenants int, quota float64) string {
 	t.Helper()
 	var b strings.Builder
 	for i := range classes {
@@ -819,15 +819,15 @@
 	for i := range tenants {
 		fmt.Fprintf(&b, `,{"name":"tenant-%05d","quota_rps":2.1,"share":0.00001}`, i)
 	}
-	return configWith(t, "127.0.0.1:8500", nil, `"profiles":[`, b.String()+`],"profiles":[`+profiles)
+	return configTextWith(t, "127.0.0.1:8500", nil, `"profiles":[`, b.String()+`],"profiles":[`+profiles)
 }
 
 // echoOf names, to a process that a benchmark starts, the address at which it asks for echoes; ownerOf the process there.
-const echoOf, ownerOf = "RELOAD_ECHO_OF", "RELOAD_ECHO_OWNER"
+const echoAddressEnv, echoProcessEnv = "RELOAD_ECHO_OF", "RELOAD_ECHO_OWNER"
 
 func TestMain(m *testing.M) {
-	if address := os.Getenv(echoOf); address != "" {
-		if err := askForEchoes(address, os.Getenv(ownerOf)); err != nil {
+	if address := os.Getenv(echoAddressEnv); address != "" {
+		if err := measureEchoes(address, os.Getenv(echoProcessEnv)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -838,10 +838,10 @@
 
 // echoes are the times until an echo came, and what its process had worked by then since it was asked for, in ns, by the
 // echo's first byte. The other eight are the processor time at which it was written.
-type echoes map[string]struct{ Late, Work []time.Duration }
+type echoTimings map[string]struct{ Late, Work []time.Duration }
 
 // processorTime is what a process has worked so far; 0 is this one.
-func processorTime(pid int) (time.Duration, error) {
+func cpuTime(pid int) (time.Duration, error) {
 	clock := 2 // CLOCK_PROCESS_CPUTIME_ID
 	if pid != 0 {
 		clock = ^pid<<3 | 2
@@ -854,8 +854,8 @@
 }
 
 // askForEchoes asks every 0.3 ms, until the connection is closed, and writes the echoes to standard output.
-func askForEchoes(address, owner string) error {
-	pid, err := strconv.Atoi(owner)
+func measureEchoes(address, process string) error {
+	pid, err := strconv.Atoi(process)
 	if err != nil {
 		return err
 	}
@@ -863,10 +863,10 @@
 	if err != nil {
 		return err
 	}
-	all := echoes{}
+	timings := echoTimings{}
 	for b := make([]byte, 9); ; time.Sleep(300 * time.Microsecond) {
 		begin := time.Now()
-		work, err := processorTime(pid)
+		work, err := cpuTime(pid)
 		if err != nil {
 			return err
 		}
@@ -876,12 +876,12 @@
 		if _, err := io.ReadFull(c, b); err != nil {
 			break
 		}
-		x := all[string(b[:1])]
+		x := timings[string(b[:1])]
 		x.Late = append(x.Late, time.Since(begin))
 		x.Work = append(x.Work, time.Duration(binary.LittleEndian.Uint64(b[1:]))-work)
-		all[string(b[:1])] = x
+		timings[string(b[:1])] = x
 	}
-	return json.NewEncoder(os.Stdout).Encode(all)
+	return json.NewEncoder(os.Stdout).Encode(timings)
 }
 
 // BenchmarkReload tells, at the size of the fleet to come and with one processor as in service, how long a reload takes from
@@ -896,7 +896,7 @@
 	for _, size := range [][2]int{{17000, 72000}, {1700, 7200}} {
 		b.Run(fmt.Sprint(size[0], "+", size[1]), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "config.json")
-			text := large(b, size[0], size[1], 1000)
+			text := largeConfigText(b, size[0], size[1], 1000)
 			write := func(quota int) {
 				if err := os.WriteFile(path, []byte(strings.Replace(text, `_rps":1000,`, fmt.Sprintf(`_rps":%d,`, quota), 1)), 0o600); err != nil {
 					b.Fatal(err)
@@ -953,7 +953,7 @@
 					default:
 					}
 					p[0] = byte('0' + phase.Load())
-					work, err := processorTime(0)
+					work, err := cpuTime(0)
 					if err != nil {
 						b.Error(err)
 						return
@@ -963,9 +963,9 @@
 				}
 			}()
 			client := exec.Command(os.Args[0])
-			client.Env = append(os.Environ(), echoOf+"="+listener.Addr().String(), fmt.Sprint(ownerOf, "=", os.Getpid()))
-			var said bytes.Buffer
-			client.Stdout, client.Stderr = &said, os.Stderr
+			client.Env = append(os.Environ(), echoAddressEnv+"="+listener.Addr().String(), fmt.Sprint(echoProcessEnv, "=", os.Getpid()))
+			var output bytes.Buffer
+			client.Stdout, client.Stderr = &output, os.Stderr
 			if err := client.Start(); err != nil {
 				b.Fatal(err)
 			}
@@ -975,14 +975,14 @@
 				phase.Store(0)
 				write(1001 + i)
 				time.Sleep(100 * time.Millisecond)
-				begin, err := processorTime(0)
+				begin, err := cpuTime(0)
 				if err != nil {
 					b.Fatal(err)
 				}
 				phase.Store(1)
 				hangups <- syscall.SIGHUP
 				took += <-inForce
-				end, err := processorTime(0)
+				end, err := cpuTime(0)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -992,19 +992,19 @@
 			if err := client.Wait(); err != nil {
 				b.Fatal(err)
 			}
-			var all echoes
-			if err := json.Unmarshal(said.Bytes(), &all); err != nil {
+			var timings echoTimings
+			if err := json.Unmarshal(output.Bytes(), &timings); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(took.Milliseconds())/float64(b.N), "ms-to-force")
 			b.ReportMetric(float64(work.Milliseconds())/float64(b.N), "ms-processor")
-			for what, x := range map[string][]time.Duration{"late": all["1"].Late, "work": all["1"].Work, "idle-late": all["0"].Late,
-				"idle-work": all["0"].Work} {
+			for what, x := range map[string][]time.Duration{"late": timings["1"].Late, "work": timings["1"].Work, "idle-late": timings["0"].Late,
+				"idle-work": timings["0"].Work} {
 				slices.Sort(x)
 				b.ReportMetric(float64(x[len(x)-1].Microseconds()), "µs-"+what+"-worst")
 				b.ReportMetric(float64(x[len(x)*99/100].Microseconds()), "µs-"+what+"-p99")
 			}
-			b.ReportMetric(float64(len(all["1"].Late)), "echoes")
+			b.ReportMetric(float64(len(timings["1"].Late)), "echoes")
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
 			b.ReportMetric(float64(m.HeapSys>>20), "MB-heap-sys")
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -84,15 +84,15 @@
 // its own: on a busy machine the upstream of the test took over 4 s to read and answer 32 MB, which is a 504 by right.
 func TestLargeBodiesPassUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
-		close(v.gate)
-		u := v.upstream(okAll)
+		v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+		close(v.connectGate)
+		u := v.addUpstream(okAll)
 		u.serve = echoBodies
-		v.tell(50, u.member("s-00000001"))
+		v.sendList(50, u.member("s-00000001"))
 		synctest.Wait()
 		room := v.memory.available.Load()
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
-			return v.meet(), nil
+			return v.connectClient(), nil
 		}}}
 		for _, n := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
 			for _, form := range []string{"", "1"} {
@@ -122,7 +122,7 @@
 		synctest.Wait()
 		want(t, "what was held is given back", v.memory.available.Load(), room)
 		client.CloseIdleConnections()
-		v.rest()
+		v.expireAndStop()
 	})
 }
 
--- a/internal/proxy/over_test.go
+++ b/internal/proxy/watcher_test.go
@@ -11,7 +11,7 @@
 // that says what is wrong, 413. On busy machines callers saw 503, which says that another try is harmless: the refusal can
 // be there before the reader of the body has told its error, and of both the front took one at random.
 // TestBodyOverTheBoundInChunks failed so in a run of CI on four cores, 1.58 s after its start (503, want 413).
-func TestFaultOfABodyGoesBeforeTheRefusalThatFollowsIt(t *testing.T) {
+func TestBodyErrorPrecedesRefusal(t *testing.T) {
 	for name, c := range map[string]struct {
 		told   bool // the reader's error is there too
 		status int
