--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -85,9 +85,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				wait, x, took := watchUntilSilent(t, answer)
-				if !errors.Is(x.err, errWatchSilent) || took < wait || took > wait+changeGracePeriod/2 {
-					t.Errorf("%v after %v; what it misses counts as told after %v", x.err, took, wait+changeGracePeriod)
+				wait, update, took := watchUntilSilent(t, answer)
+				if !errors.Is(update.err, errWatchSilent) || took < wait || took > wait+changeGracePeriod/2 {
+					t.Errorf("%v after %v; what it misses counts as told after %v", update.err, took, wait+changeGracePeriod)
 				}
 			})
 		})
@@ -138,8 +138,8 @@
 	}
 	b.loopSays(func(l *loop) bool {
 		usable := 0
-		for _, p := range l.upstreams {
-			if l.usable(p) {
+		for _, u := range l.upstreams {
+			if l.usable(u) {
 				usable++
 			}
 		}
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -148,7 +148,7 @@
 // Two calls cross: the one that was noted first has its turn in the loop last. It does not undo the other one.
 func TestConcurrentOrdersBothApply(t *testing.T) {
 	s := newServer(t, okAll)
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s), up("s-00000002", s))
 	c, err := load(t, configText, nil)
 	if err != nil {
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -13,13 +13,13 @@
 )
 
 // hand is a loop that a test turns by hand.
-type testLoop struct {
+type loopHarness struct {
 	*loop
 	t    *testing.T
 	plan *garnettide.Plan
 }
 
-func newTestLoop(t *testing.T) *testLoop {
+func newLoopHarness(t *testing.T) *loopHarness {
 	t.Helper()
 	c, err := load(t, configText, nil)
 	if err != nil {
@@ -29,18 +29,18 @@
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
 	l.Watch(false) // nothing listens there
-	return &testLoop{l, t, c.Plan}
+	return &loopHarness{l, t, c.Plan}
 }
 
-func (h *testLoop) setMembers(revision uint64, members ...member) {
+func (h *loopHarness) setMembers(revision uint64, members ...member) {
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
 }
 
 // ask sends a request and turns the loop until it is answered and its attempts are over.
-func (h *testLoop) roundTrip(name string, timeout time.Duration) clientResponse {
+func (h *loopHarness) roundTrip(name string, budget time.Duration) clientResponse {
 	h.t.Helper()
 	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
-	r.Class, r.Budget = "checkin", timeout
+	r.Class, r.Budget = "checkin", budget
 	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
@@ -56,9 +56,9 @@
 	return <-r.responseCh
 }
 
-func (h *testLoop) hasAttemptsInFlight() bool {
-	for _, p := range h.upstreams {
-		if len(p.inFlight) > 0 {
+func (h *loopHarness) hasAttemptsInFlight() bool {
+	for _, u := range h.upstreams {
+		if len(u.inFlight) > 0 {
 			return true
 		}
 	}
@@ -73,7 +73,7 @@
 		for range s.arrivals {
 		}
 	}()
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	const ids = 2000
 	for i := range ids {
 		h.setMembers(uint64(i+100), up(fmt.Sprintf("s-%08x", i), s))
@@ -104,7 +104,7 @@
 // to blame.
 func TestOldestIdleConnectionIsEvicted(t *testing.T) {
 	one, two := newServer(t, okAll), newServer(t, okAll)
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.maxConns = 1
 	h.setMembers(20, up("s-00000001", one))
 	want(t, "first", h.roundTrip("1", time.Second).status, 200)
@@ -130,7 +130,7 @@
 		}
 		return true
 	})
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
 	want(t, "first", string(h.roundTrip("1", time.Second).body), "1")
 	<-duplicated
@@ -141,14 +141,14 @@
 // A connection rests for longer than second copies were seen to be late, and serves again behind that.
 func TestConnReuseDelay(t *testing.T) {
 	s := newServer(t, okAll)
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
 	want(t, "first", h.roundTrip("1", time.Second).status, 200)
-	p := h.upstreams[h.upstreamIDs.id("s-00000001")]
-	idleSince := p.idleConns[0].idleAt
-	c, _ := h.acquireConn(p, idleSince+4*time.Millisecond)
+	u := h.upstreams[h.upstreamIDs.id("s-00000001")]
+	idleSince := u.idleConns[0].idleAt
+	c, _ := h.acquireConn(u, idleSince+4*time.Millisecond)
 	want(t, "used within the rest", c != nil, false)
-	c, _ = h.acquireConn(p, idleSince+connReuseDelay)
+	c, _ = h.acquireConn(u, idleSince+connReuseDelay)
 	want(t, "used behind it", c != nil, true)
 }
 
@@ -156,7 +156,7 @@
 func TestRemovedUpstreamIsDroppedAfterItsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
 	r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
@@ -175,7 +175,7 @@
 
 // An attempt for which there is no connection was never sent, through no fault of the upstream's.
 func TestAttemptOverConnLimitIsNotSent(t *testing.T) {
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.maxConns = 0
 	s := newServer(t, okAll)
 	h.setMembers(20, up("s-00000001", s))
@@ -185,7 +185,7 @@
 }
 
 // lateConns makes new connections come up only once they are let: begun tells of each that waits.
-func (h *testLoop) delayConns() (dialing chan string, release chan struct{}) {
+func (h *loopHarness) delayConns() (dialing chan string, release chan struct{}) {
 	dialing, release = make(chan string, 10), make(chan struct{})
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		dialing <- address
@@ -196,7 +196,7 @@
 }
 
 // next turns the loop by one event.
-func (h *testLoop) applyNextEvent() {
+func (h *loopHarness) applyNextEvent() {
 	h.t.Helper()
 	select {
 	case e := <-h.events:
@@ -208,9 +208,9 @@
 }
 
 // begin hands the loop a request and does not wait for its end.
-func (h *testLoop) startRequest(class, name string, timeout time.Duration) *request {
+func (h *loopHarness) startRequest(class, name string, budget time.Duration) *request {
 	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
-	r.Class, r.Budget = class, timeout
+	r.Class, r.Budget = class, budget
 	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
@@ -220,19 +220,19 @@
 // A request that is over goes to no upstream any more: what of it waits for a connection as another copy is answered, as
 // the module gives it up, as its time runs out or as its client leaves is never written once the connection is up.
 func TestClosedRequestIsNotWritten(t *testing.T) {
-	for name, end := range map[string]func(h *testLoop, r *request){
-		"answered": func(h *testLoop, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
-		"given up": func(h *testLoop, r *request) { h.Refuse(r.ID, 0) },
-		"out of time": func(h *testLoop, r *request) {
+	for name, end := range map[string]func(h *loopHarness, r *request){
+		"answered": func(h *loopHarness, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
+		"given up": func(h *loopHarness, r *request) { h.Refuse(r.ID, 0) },
+		"out of time": func(h *loopHarness, r *request) {
 			for !r.closed {
 				h.fireTimers()
 			}
 		},
-		"left": func(h *testLoop, r *request) { clientLeft{r}.apply(h.loop) },
+		"left": func(h *loopHarness, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, okAll)
-			h := newTestLoop(t)
+			h := newLoopHarness(t)
 			dialing, release := h.delayConns()
 			h.setMembers(20, up("s-00000001", s))
 			r := h.startRequest("read", "1", 100*time.Millisecond)
@@ -251,7 +251,7 @@
 }
 
 // clock sets the clock by which attempts are written.
-func (h *testLoop) fakeClock() *atomic.Int64 {
+func (h *loopHarness) fakeClock() *atomic.Int64 {
 	var fakeClock atomic.Int64
 	fakeClock.Store(int64(h.now()))
 	h.transport.now = func() time.Duration { return time.Duration(fakeClock.Load()) }
@@ -266,7 +266,7 @@
 	t.Cleanup(func() { close(stop) })
 	hang := func(net.Conn, *http.Request) bool { <-stop; return false }
 	servers := [2]*server{newServer(t, hang), newServer(t, hang)}
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	first, second := up("s-00000001", servers[0]), up("s-00000002", servers[1])
 	connect := map[string]chan struct{}{servers[0].addr: make(chan struct{}), servers[1].addr: make(chan struct{})}
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -315,7 +315,7 @@
 func TestDeadlineHeaderIsSetAtWrite(t *testing.T) {
 	for delay, wantHeader := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
 		s := newServer(t, okAll)
-		h := newTestLoop(t)
+		h := newLoopHarness(t)
 		dialing, release := h.delayConns()
 		fakeClock := h.fakeClock()
 		h.setMembers(20, up("s-00000001", s))
@@ -335,9 +335,9 @@
 // A list that has come goes before whatever is sent after it, each of several, and also where alarms that are due follow
 // one another.
 func TestQueuedListsApplyBeforeSends(t *testing.T) {
-	for name, trigger := range map[string]func(h *testLoop, r *request){
-		"an event": func(h *testLoop, r *request) { h.handle(requestReceived{r}) },
-		"an alarm": func(h *testLoop, r *request) {
+	for name, trigger := range map[string]func(h *loopHarness, r *request){
+		"an event": func(h *loopHarness, r *request) { h.handle(requestReceived{r}) },
+		"an alarm": func(h *loopHarness, r *request) {
 			h.addTimer(loopTimer{at: h.now(), request: &request{attempts: []*attempt{{reported: true}}}})
 			h.fireTimers()
 			requestReceived{r}.apply(h.loop)
@@ -346,7 +346,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, okAll)
-			h := newTestLoop(t)
+			h := newLoopHarness(t)
 			one := up("s-00000001", s)
 			h.setMembers(20, one)
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
@@ -391,7 +391,7 @@
 func TestAbortPrecedesNextAttempt(t *testing.T) {
 	releaseReads := make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	calls, n := make(chan string, 10), 0
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		c, err := net.DialTimeout(network, address, timeout)
@@ -417,7 +417,7 @@
 // An attempt is given up in the moment in which its answer has come: its connection does not serve again.
 func TestAbortedConnectionIsNotReused(t *testing.T) {
 	s := newServer(t, okAll)
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
 	r := h.startRequest("read", "1", 4*time.Second)
 	e := <-h.events // the answer, which the loop has not heard of
@@ -430,18 +430,18 @@
 // soon counts as told. What fails is asked again when the module says so.
 func TestWatchIsReopenedImmediately(t *testing.T) {
 	for name, c := range map[string]struct {
-		happen  func(h *testLoop)
+		happen  func(h *loopHarness)
 		watches bool
 	}{
-		"silent": {func(h *testLoop) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
-		"moved": {func(h *testLoop) {
+		"silent": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
+		"moved": {func(h *loopHarness) {
 			h.stopWatch = func() {} // one is open
 			configReloaded{reloadOf(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
 		}, true},
-		"failed": {func(h *testLoop) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
+		"failed": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newTestLoop(t)
+			h := newLoopHarness(t)
 			h.stopWatch = nil
 			c.happen(h)
 			want(t, "a new watch", h.stopWatch != nil, c.watches)
--- a/internal/proxy/memnet_test.go
+++ b/internal/proxy/memnet_test.go
@@ -167,7 +167,7 @@
 }
 
 // virtualConfig is a configuration without a list, with the settings that set leaves.
-func newMemBalancerConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
+func memBalancerConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
 	t.Helper()
 	c, err := load(t, configText, nil)
 	if err != nil {
@@ -188,33 +188,33 @@
 func newMemBalancer(t *testing.T, emptyPipe *os.File, dialDiscovery func(context.Context, string, string) (net.Conn, error),
 	set func(*Config, *garnettide.Settings)) *memBalancer {
 	t.Helper()
-	c := newMemBalancerConfig(t, set)
+	c := memBalancerConfig(t, set)
 	ctx, cancel := context.WithCancel(t.Context())
-	v := &memBalancer{loop: newLoop(ctx, &c), cancel: cancel, memUpstreams: map[string]*memUpstream{}, connectGate: make(chan struct{}), emptyPipe: emptyPipe}
-	v.discoveryClient.dial = dialDiscovery
-	v.transport.open = func(_, address string, _ time.Duration) (net.Conn, error) {
-		<-v.connectGate
-		return v.memUpstreams[address].dial(), nil
+	b := &memBalancer{loop: newLoop(ctx, &c), cancel: cancel, memUpstreams: map[string]*memUpstream{}, connectGate: make(chan struct{}), emptyPipe: emptyPipe}
+	b.discoveryClient.dial = dialDiscovery
+	b.transport.open = func(_, address string, _ time.Duration) (net.Conn, error) {
+		<-b.connectGate
+		return b.memUpstreams[address].dial(), nil
 	}
-	v.start(&c, nil)
-	v.front = newFrontend(&c, newMemListener(emptyPipe), v.loop)
-	go v.run()
-	return v
+	b.start(&c, nil)
+	b.front = newFrontend(&c, newMemListener(emptyPipe), b.loop)
+	go b.run()
+	return b
 }
 
-func (v *memBalancer) addUpstream(respond func(net.Conn, *http.Request) bool) *memUpstream {
-	u := &memUpstream{address: fmt.Sprintf("127.0.0.1:%d", 9000+len(v.memUpstreams)), respond: respond, emptyPipe: v.emptyPipe}
-	v.memUpstreams[u.address] = u
+func (b *memBalancer) addUpstream(respond func(net.Conn, *http.Request) bool) *memUpstream {
+	u := &memUpstream{address: fmt.Sprintf("127.0.0.1:%d", 9000+len(b.memUpstreams)), respond: respond, emptyPipe: b.emptyPipe}
+	b.memUpstreams[u.address] = u
 	return u
 }
 
-func (v *memBalancer) sendList(revision uint64, members ...member) {
-	v.listUpdates <- listUpdate{from: v.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
+func (b *memBalancer) sendList(revision uint64, members ...member) {
+	b.listUpdates <- listUpdate{from: b.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
 }
 
 // begun is how many requests have begun at all upstreams.
-func (v *memBalancer) requestsStarted() (n int) {
-	for _, u := range v.memUpstreams {
+func (b *memBalancer) requestsStarted() (n int) {
+	for _, u := range b.memUpstreams {
 		n += int(u.requestsStarted.Load())
 	}
 	return n
@@ -229,37 +229,37 @@
 		class           string
 		requestsStarted int // by the time that the client goes
 		// meet brings a request to its state, and returns what lets the attempt in question begin.
-		prepare func(v *memBalancer, sendRequest func()) (startAttempt func())
+		prepare func(b *memBalancer, sendRequest func()) (startAttempt func())
 	}{
-		"held": {"checkin", 0, func(v *memBalancer, sendRequest func()) func() {
-			close(v.connectGate)
-			u := v.addUpstream(okAll)
+		"held": {"checkin", 0, func(b *memBalancer, sendRequest func()) func() {
+			close(b.connectGate)
+			u := b.addUpstream(okAll)
 			sendRequest()
-			return func() { v.sendList(50, u.member("s-00000001")) }
+			return func() { b.sendList(50, u.member("s-00000001")) }
 		}},
-		"its connection comes up late": {"checkin", 0, func(v *memBalancer, sendRequest func()) func() {
-			v.sendList(50, v.addUpstream(okAll).member("s-00000001"))
+		"its connection comes up late": {"checkin", 0, func(b *memBalancer, sendRequest func()) func() {
+			b.sendList(50, b.addUpstream(okAll).member("s-00000001"))
 			sendRequest()
-			return func() { close(v.connectGate) }
+			return func() { close(b.connectGate) }
 		}},
-		"repeated": {"pay", 1, func(v *memBalancer, sendRequest func()) func() {
-			close(v.connectGate)
+		"repeated": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
+			close(b.connectGate)
 			fail := make(chan struct{})
 			failFirst := func(c net.Conn, r *http.Request) bool {
-				if v.requestsStarted() == 1 {
+				if b.requestsStarted() == 1 {
 					<-fail
 					return false
 				}
 				return okAll(c, r)
 			}
-			v.sendList(50, v.addUpstream(failFirst).member("s-00000001"), v.addUpstream(failFirst).member("s-00000002"))
+			b.sendList(50, b.addUpstream(failFirst).member("s-00000001"), b.addUpstream(failFirst).member("s-00000002"))
 			sendRequest()
 			return func() { close(fail) }
 		}},
-		"copied": {"pay", 1, func(v *memBalancer, sendRequest func()) func() {
-			close(v.connectGate)
+		"copied": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
+			close(b.connectGate)
 			neverRespond := func(c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }
-			v.sendList(50, v.addUpstream(neverRespond).member("s-00000001"), v.addUpstream(neverRespond).member("s-00000002"))
+			b.sendList(50, b.addUpstream(neverRespond).member("s-00000001"), b.addUpstream(neverRespond).member("s-00000002"))
 			sendRequest()
 			return func() {} // in time the module takes the first one for silent
 		}},
@@ -267,11 +267,11 @@
 		for _, leaves := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leaves %v", name, leaves), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
-					clientEnd, serverEnd := memPipe(v.emptyPipe)
-					startAttempt := c.prepare(v, func() {
+					b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
+					clientEnd, serverEnd := memPipe(b.emptyPipe)
+					startAttempt := c.prepare(b, func() {
 						synctest.Wait() // the list
-						v.front.startClient(serverEnd)
+						b.front.startClient(serverEnd)
 						key := ""
 						if c.class == "pay" {
 							key = "Idempotency-Key: 1\r\n"
@@ -280,7 +280,7 @@
 							"Content-Length: 0\r\n\r\n", c.class, c.class, key)
 						synctest.Wait()
 					})
-					want(t, "begun at first", v.requestsStarted(), c.requestsStarted)
+					want(t, "begun at first", b.requestsStarted(), c.requestsStarted)
 					if leaves {
 						clientEnd.Close()
 					} else {
@@ -291,13 +291,13 @@
 					time.Sleep(3 * time.Second)
 					synctest.Wait()
 					if leaves {
-						want(t, "begun once the client had gone", v.requestsStarted(), c.requestsStarted)
+						want(t, "begun once the client had gone", b.requestsStarted(), c.requestsStarted)
 					} else {
-						want(t, "begun while the client waits", v.requestsStarted(), c.requestsStarted+1)
+						want(t, "begun while the client waits", b.requestsStarted(), c.requestsStarted+1)
 					}
 					clientEnd.Close()
 					time.Sleep(2 * lateResponseTimeout) // what hangs is given up
-					v.cancel()
+					b.cancel()
 					time.Sleep(time.Second)
 				})
 			})
@@ -310,35 +310,35 @@
 // no read shows it, and an attempt that was written went by what reading had shown. The system tells of it without a read.
 func TestNoAttemptStartsAfterClientOfLargeUploadLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
-		close(v.connectGate)
-		u := v.addUpstream(okAll)
-		clientEnd, serverEnd := memPipe(v.emptyPipe)
-		v.front.startClient(serverEnd)
+		b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+		close(b.connectGate)
+		u := b.addUpstream(okAll)
+		clientEnd, serverEnd := memPipe(b.emptyPipe)
+		b.front.startClient(serverEnd)
 		go fmt.Fprintf(clientEnd, "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\nX-Class: checkin\r\nContent-Length: %d\r\n\r\n%s",
 			3*maxBufferedBody, make([]byte, 3*maxBufferedBody))
 		synctest.Wait()
 		clientEnd.Close()
 		time.Sleep(100 * time.Millisecond)
-		v.sendList(50, u.member("s-00000001"))
+		b.sendList(50, u.member("s-00000001"))
 		time.Sleep(10 * time.Second)
-		want(t, "begun once the client had gone", v.requestsStarted(), 0)
-		v.cancel()
+		want(t, "begun once the client had gone", b.requestsStarted(), 0)
+		b.cancel()
 		time.Sleep(time.Second)
 	})
 }
 
 // meet opens a client's connection.
-func (v *memBalancer) connectClient() *memConn {
-	clientEnd, serverEnd := memPipe(v.emptyPipe)
-	v.front.startClient(serverEnd)
+func (b *memBalancer) connectClient() *memConn {
+	clientEnd, serverEnd := memPipe(b.emptyPipe)
+	b.front.startClient(serverEnd)
 	return clientEnd
 }
 
 // rest lets what hangs be given up, and ends all.
-func (v *memBalancer) expireAndStop() {
+func (b *memBalancer) expireAndStop() {
 	time.Sleep(2 * lateResponseTimeout)
-	v.cancel()
+	b.cancel()
 	time.Sleep(time.Second)
 }
 
@@ -469,7 +469,7 @@
 							if newProcess {
 								d.startOutage(c.outage)
 							}
-							v := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(x *Config, s *garnettide.Settings) {
+							b := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(x *Config, s *garnettide.Settings) {
 								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
 								if newProcess { // its first call comes at once, and has no list to go on from
 									x.InheritedFD, s.Balancers = minInheritedFD, 1
@@ -477,16 +477,16 @@
 							})
 							if !newProcess {
 								time.Sleep(time.Minute)
-								want(t, "revision at first", v.appliedRevision(), 1)
+								want(t, "revision at first", b.appliedRevision(), 1)
 								d.startOutage(c.outage)
 							}
 							time.Sleep(outageLength)
 							d.endOutage()
 							time.Sleep(deliveryLimit)
-							if got := v.appliedRevision(); got != 2 {
+							if got := b.appliedRevision(); got != 2 {
 								t.Errorf("%v without discovery, seed %d: the news is not heard %v after its return", outageLength, seed, deliveryLimit)
 							}
-							v.cancel()
+							b.cancel()
 							time.Sleep(2 * time.Minute) // the calls that still hang
 						})
 					}
@@ -497,9 +497,9 @@
 }
 
 // revisionHeld is that of the list that the loop goes by.
-func (v *memBalancer) appliedRevision() (revision int) {
+func (b *memBalancer) appliedRevision() (revision int) {
 	done := make(chan struct{})
-	v.adminCalls <- adminLoopCall{fn: func(l *loop) { revision = int(l.revision) }, done: done}
+	b.adminCalls <- adminLoopCall{fn: func(l *loop) { revision = int(l.revision) }, done: done}
 	<-done
 	return revision
 }
@@ -530,7 +530,7 @@
 					var ready atomic.Int32
 					var running, polling sync.WaitGroup
 					for rank := range balancers {
-						x := newMemBalancerConfig(t, func(x *Config, s *garnettide.Settings) {
+						x := memBalancerConfig(t, func(x *Config, s *garnettide.Settings) {
 							x.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
 							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
 						})
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -293,7 +293,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := newTestLoop(t)
+		h := newLoopHarness(t)
 		f := newFrontend(&c, l, h.loop)
 		raw, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -312,7 +312,7 @@
 	})
 	t.Run("before the loop hears of it", func(t *testing.T) {
 		s := newServer(t, okAll)
-		h := newTestLoop(t)
+		h := newLoopHarness(t)
 		begun, let := h.delayConns()
 		h.setMembers(20, up("s-00000001", s))
 		r := h.startRequest("read", "1", time.Second)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -68,7 +68,7 @@
 // reloading is a running balancer whose process reads its configuration again on a signal.
 type reloadableBalancer struct {
 	*balancer
-	path          string
+	configPath    string
 	hangups       chan os.Signal
 	appliedHashes chan string // the hash of each configuration as it goes in force, told on the loop
 	log           *testLog
@@ -126,7 +126,7 @@
 // newReloading starts a balancer that reloads; set changes its configuration at the start.
 func newReloadableBalancer(t *testing.T, set func(*Config), members ...member) *reloadableBalancer {
 	t.Helper()
-	r := &reloadableBalancer{path: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
+	r := &reloadableBalancer{configPath: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
 		appliedHashes: make(chan string, 10000), log: &testLog{written: make(chan struct{}, 1)}}
 	r.balancer = newBalancerWith(t, func(c *Config) {
 		c.OnConfigApplied = func(hash string, took time.Duration) {
@@ -152,7 +152,7 @@
 }
 
 func (r *reloadableBalancer) getenv(name string) string {
-	return map[string]string{"RELAY_CONFIG": r.path, "RELAY_OPERATOR": r.config.Operator}[name]
+	return map[string]string{"RELAY_CONFIG": r.configPath, "RELAY_OPERATOR": r.config.Operator}[name]
 }
 
 // write replaces the file by a configuration of settingsText in which old and new, in turn, are replaced.
@@ -163,10 +163,10 @@
 
 func (r *reloadableBalancer) writeConfigText(t *testing.T, text string) (hash string) {
 	t.Helper()
-	if err := os.WriteFile(r.path+".new", []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(r.configPath+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(r.path+".new", r.path); err != nil {
+	if err := os.Rename(r.configPath+".new", r.configPath); err != nil {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:12]
@@ -236,7 +236,7 @@
 	})
 	r.log.waitForLine(t, "configuration in force", "took=", "classes_added=1 classes_changed=1 classes_gone=1",
 		"tenants_added=1 tenants_changed=0 tenants_gone=0")
-	text, err := os.ReadFile(r.path)
+	text, err := os.ReadFile(r.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,10 +261,10 @@
 // nothing new of it is taken.
 func TestRemovedClassFinishesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
-	var asked atomic.Int32
+	var received atomic.Int32
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		<-release
-		return asked.Add(1) > 1 && okAll(c, r) // the first answer breaks off
+		return received.Add(1) > 1 && okAll(c, r) // the first answer breaks off
 	})
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
 	keyed := r.connect(t)
@@ -283,7 +283,7 @@
 	release := make(chan struct{})
 	defer close(release)
 	s := newServer(t, func(net.Conn, *http.Request) bool { <-release; return false })
-	h := newTestLoop(t)
+	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s), up("s-00000002", s))
 	startRequest := func(name string, budget time.Duration) *request {
 		r := h.startRequest("checkin", name, budget)
@@ -386,22 +386,22 @@
 		{withTenants(`[{"name":"t1","quota_rps":-1}]`), []string{"tenants", "t1", "Quota"}},
 		{withTenants(`{"t1":1}`), []string{"tenants", "invalid character"}},
 	} {
-		path := r.path
+		configPath := r.configPath
 		if i%2 == 0 { // each by another name, so that a line can't be an older one's
-			path = filepath.Join(filepath.Dir(path), fmt.Sprint("config-", i, ".json"))
+			configPath = filepath.Join(filepath.Dir(configPath), fmt.Sprint("config-", i, ".json"))
 		}
-		old := r.path
-		r.path = path
+		old := r.configPath
+		r.configPath = configPath
 		r.writeConfigText(t, c.text)
 		lines := r.log.count("the old one stays")
 		r.hangups <- syscall.SIGHUP
 		r.until(t, "a line", func() bool { return r.log.count("the old one stays") > lines })
-		r.log.waitForLine(t, append([]string{"the old one stays", filepath.Base(path)}, c.names...)...)
-		r.path = old
+		r.log.waitForLine(t, append([]string{"the old one stays", filepath.Base(configPath)}, c.names...)...)
+		r.configPath = old
 	}
-	os.Remove(r.path)
+	os.Remove(r.configPath)
 	r.hangups <- syscall.SIGHUP
-	r.log.waitForLine(t, "the old one stays", r.path, "no such file")
+	r.log.waitForLine(t, "the old one stays", r.configPath, "no such file")
 	want(t, "the plan in force", currentPlan(), planBefore)
 	want(t, "configurations in force", len(r.appliedHashes), 0)
 	status, _ := r.do(t, r.ask("parcel", ""))
