--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -18,11 +18,12 @@
 	"time"
 )
 
-// toldAfter is when what a silent watch misses counts as told, counted from the end of its wait.
+// changeGracePeriod is how long after a silent watch call's time-out a balancer may still be unaware of a change that it
+// missed.
 const changeGracePeriod = 2 * time.Second
 
-// followSilent follows a discovery that gives the same answer to each call and then nothing. It returns how long the
-// call was to wait, what was heard, and after how long.
+// watchUntilSilent watches a discovery server that sends answer to each call and then nothing. It returns the time-out of
+// the call, the update that was posted, and after how long.
 func watchUntilSilent(t *testing.T, answer string) (wait time.Duration, update listUpdate, took time.Duration) {
 	updates, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
 	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(update listUpdate) { updates <- update })
@@ -46,24 +47,24 @@
 	return <-waits, update, time.Since(start)
 }
 
-// A list that is malformed, cut short or without an end is not taken by half: it is a failed call. One that lacks its members
-// would say that all upstreams are gone.
+// Guards against using part of a list that is malformed, truncated or too long, and against taking a list without members
+// for the removal of all upstreams.
 func TestMalformedListsAreFailedCalls(t *testing.T) {
 	const one = `{"id":"s-00000001","host_port":"127.0.0.1:1","phase":"up"}`
 	for name, c := range map[string]struct {
 		text string
 		ok   bool
 	}{
-		"whole":            {`{"revision":11,"complete":true,"members":[` + one + `]}`, true},
-		"indented":         {"{\n  \"revision\": 11,\n  \"complete\": true,\n  \"members\": [\n    " + one + "\n  ]\n}\n", true},
-		"empty":            {`{"revision":11,"complete":true,"members":[]}`, true},
-		"no members":       {`{"revision":11,"complete":true}`, false},
-		"null members":     {`{"revision":11,"complete":true,"members":null}`, false},
-		"cut short":        {`{"revision":11,"complete":true,"members":[` + one + `,`, false},
-		"a bad entry":      {`{"revision":11,"complete":true,"members":[` + one + `,{"id":"s-2","phase":"up"}]}`, false},
-		"something behind": {`{"revision":11,"complete":true,"members":[` + one + `]}]`, false},
-		"without an end":   {`{"revision":11,"complete":true,"members":[` + one + strings.Repeat(" ", maxListBytes), false},
-		"no object":        {`[]`, false},
+		"whole":          {`{"revision":11,"complete":true,"members":[` + one + `]}`, true},
+		"indented":       {"{\n  \"revision\": 11,\n  \"complete\": true,\n  \"members\": [\n    " + one + "\n  ]\n}\n", true},
+		"empty":          {`{"revision":11,"complete":true,"members":[]}`, true},
+		"no members":     {`{"revision":11,"complete":true}`, false},
+		"null members":   {`{"revision":11,"complete":true,"members":null}`, false},
+		"truncated":      {`{"revision":11,"complete":true,"members":[` + one + `,`, false},
+		"invalid entry":  {`{"revision":11,"complete":true,"members":[` + one + `,{"id":"s-2","phase":"up"}]}`, false},
+		"trailing bytes": {`{"revision":11,"complete":true,"members":[` + one + `]}]`, false},
+		"too long":       {`{"revision":11,"complete":true,"members":[` + one + strings.Repeat(" ", maxListBytes), false},
+		"not an object":  {`[]`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, c.text) }))
@@ -71,13 +72,13 @@
 			d := newDiscoveryClient(t.Context(), s.Listener.Addr().String(), nil)
 			defer d.shutdown()
 			_, err := d.call(t.Context(), d.url, discoveryCallTimeout)
-			want(t, "taken", err == nil, c.ok)
+			want(t, "accepted", err == nil, c.ok)
 		})
 	}
 }
 
-// A watch that falls silent, before its answer or amid it, is found while there is still time to hear of what it misses
-// on a new one.
+// Guards against detecting a silent watch, with no answer or with half of one, too late to get the missed changes in time
+// with a new call.
 func TestSilentWatchIsDetectedInTime(t *testing.T) {
 	for name, answer := range map[string]string{
 		"no answer":      "",
@@ -87,15 +88,15 @@
 			synctest.Test(t, func(t *testing.T) {
 				wait, update, took := watchUntilSilent(t, answer)
 				if !errors.Is(update.err, errWatchSilent) || took < wait || took > wait+changeGracePeriod/2 {
-					t.Errorf("%v after %v; what it misses counts as told after %v", update.err, took, wait+changeGracePeriod)
+					t.Errorf("got %v after %v, want a silent watch well before %v", update.err, took, wait+changeGracePeriod)
 				}
 			})
 		})
 	}
 }
 
-// Watches that were opened at one moment and fall silent together are found so one by one: discovery answers calls in
-// turn, and for the last of fourteen at once the answer came too late.
+// Guards against watches that were opened at the same time being reopened at the same time after they go silent: discovery
+// answers calls one at a time, so the last ones would be answered too late.
 func TestSilentWatchesAreDetectedAtDifferentTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var detected []time.Duration
@@ -105,13 +106,13 @@
 		}
 		slices.Sort(detected)
 		if spread := detected[len(detected)-1] - detected[0]; spread < discoveryWatchTimeout/5 {
-			t.Errorf("all within %v", spread)
+			t.Errorf("all were detected within %v, want a wider spread", spread)
 		}
 	})
 }
 
-// A fleet of 1,024 servers and as many balancers fits into the least memory and descriptors there are: the list is taken
-// whole and as changes, and requests are served.
+// Guards against exceeding the smallest limits of memory and descriptors with 1,024 servers and as many balancers, with
+// complete and incremental lists.
 func TestThousandServersAndBalancers(t *testing.T) {
 	const fleet = 1024
 	s := newServer(t, okAll)
@@ -131,7 +132,7 @@
 	}
 	<-b.registry.calls
 	b.registry.answers <- discoveryList{Revision: 12, Members: leaving}
-	want(t, "call behind the changes", since(<-b.registry.calls), "since=12")
+	want(t, "call after the changes", since(<-b.registry.calls), "since=12")
 	for range 20 {
 		status, _ := b.do(t, b.ask("checkin", ""))
 		want(t, "status", status, 200)
@@ -150,7 +151,7 @@
 	var m runtime.MemStats
 	runtime.GC()
 	if runtime.ReadMemStats(&m); m.HeapAlloc > 16<<20 {
-		t.Errorf("%d MB of heap are live, of 32", m.HeapAlloc>>20)
+		t.Errorf("got %d MB of live heap, want at most 16", m.HeapAlloc>>20)
 	}
-	want(t, "descriptors fit", b.config.maxUpstreamConns()+b.config.maxClientConns() < 256, true)
+	want(t, "connection limits fit the descriptors", b.config.maxUpstreamConns()+b.config.maxClientConns() < 256, true)
 }
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// inherit returns a descriptor of its own for a socket, as a process inherits one.
+// duplicateDescriptor returns a duplicate of a socket's descriptor, as a process inherits it.
 func duplicateDescriptor(t *testing.T, from interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := from.File()
@@ -29,6 +29,8 @@
 	return fd
 }
 
+// Guards against accepting an inherited descriptor that is not a listening TCP socket, and against closing the socket of
+// other processes with this one's listener.
 func TestInheritedDescriptorMustListen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,15 +56,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, fd := range map[string]int{"a connection": duplicateDescriptor(t, c.(*net.TCPConn)), "a file": plain,
-		"a packet socket": duplicateDescriptor(t, packets.(*net.UDPConn)), "nothing": 1 << 20} {
+	for what, fd := range map[string]int{"connection": duplicateDescriptor(t, c.(*net.TCPConn)), "file": plain,
+		"packet socket": duplicateDescriptor(t, packets.(*net.UDPConn)), "closed descriptor": 1 << 20} {
 		if l, err := Listen(&Config{InheritedFD: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
-			t.Errorf("%s: got %v, %v", what, l, err)
+			t.Errorf("%s: got listener %v and error %v, want an error naming RELAY_INHERITED_FD", what, l, err)
 		}
 	}
 	for _, fd := range []string{"x", "-1", "2", "4 "} {
 		if _, err := load(t, configText, map[string]string{"RELAY_INHERITED_FD": fd}); err == nil {
-			t.Errorf("RELAY_INHERITED_FD=%q is taken", fd)
+			t.Errorf("RELAY_INHERITED_FD=%q: got no error", fd)
 		}
 	}
 	inherited, err := Listen(&Config{InheritedFD: duplicateDescriptor(t, l.(*net.TCPListener))})
@@ -72,7 +74,7 @@
 	inherited.Close()
 	again, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		t.Fatalf("the socket ended with one of its listeners: %v", err)
+		t.Fatalf("connecting after one of two listeners was closed: %v", err)
 	}
 	again.Close()
 }
@@ -87,65 +89,66 @@
 	return b
 }
 
-// Whatever stands in the file, a start goes on, and the next order is kept whole.
+// Guards against a state file with invalid content preventing the start or the storing of later orders.
 func TestInvalidStateFileDoesNotPreventStart(t *testing.T) {
-	for what, text := range map[string]string{"empty": "", "cut short": `{"out_of_service":true,"offl`, "no JSON": "\x00\xff",
-		"another form": `{"offline":{"s-1":true}}`, "endless": strings.Repeat("[", maxOrdersBytes+10)} {
+	for what, text := range map[string]string{"empty": "", "truncated": `{"out_of_service":true,"offl`, "not JSON": "\x00\xff",
+		"wrong type": `{"offline":{"s-1":true}}`, "too long": strings.Repeat("[", maxOrdersBytes+10)} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "olivearch-n%2F0.json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		b := openTestStateFile(t, dir)
-		want(t, what+": drained", b.current.Load().OutOfService, false)
-		want(t, what+": left out", len(b.current.Load().Offline), 0)
+		want(t, what+": out of service", b.current.Load().OutOfService, false)
+		want(t, what+": upstreams offline", len(b.current.Load().Offline), 0)
 		if err := b.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 		if o, _, err := b.read(); err != nil || len(o.Offline) != 1 || o.OutOfService {
-			t.Errorf("%s: then reads as %v, %v", what, o, err)
+			t.Errorf("%s: after an update, got orders %v and error %v", what, o, err)
 		}
 	}
 }
 
-// Two processes of one balancer know of each other, and what one is told the other hears of; calls at both add up.
+// Guards against overlapping processes of one balancer that do not detect each other, miss orders stored by the other one
+// or overwrite them.
 func TestProcessesShareOrders(t *testing.T) {
 	dir := t.TempDir()
 	a := openTestStateFile(t, dir)
-	want(t, "alone at first", a.alone(), true)
+	want(t, "first process alone", a.alone(), true)
 	b := openTestStateFile(t, dir)
-	want(t, "alone, the older", a.alone(), false)
-	want(t, "alone, the newer", b.alone(), false)
+	want(t, "older process alone beside a newer one", a.alone(), false)
+	want(t, "newer process alone beside an older one", b.alone(), false)
 	for _, x := range []struct {
-		told *stateFile
-		id   string
+		state *stateFile
+		id    string
 	}{{a, "s-1"}, {b, "s-2"}} {
-		if err := x.told.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
+		if err := x.state.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want(t, "heard", a.refresh(), true)
-	want(t, "both", strings.Join(a.current.Load().Offline, " "), "s-1 s-2")
-	want(t, "heard twice", a.refresh(), false)
+	want(t, "new orders", a.refresh(), true)
+	want(t, "offline", strings.Join(a.current.Load().Offline, " "), "s-1 s-2")
+	want(t, "new orders on a second refresh", a.refresh(), false)
 	if err := os.WriteFile(b.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "a spoilt change is news", a.refresh(), false)
-	want(t, "held over it", len(a.current.Load().Offline), 2)
+	want(t, "new orders in an invalid file", a.refresh(), false)
+	want(t, "offline after an invalid file", len(a.current.Load().Offline), 2)
 	b.close()
-	want(t, "alone after its end", a.alone(), true)
+	want(t, "alone after the other process has ended", a.alone(), true)
 	lock, err := tryLock(a.path + ".lock")
 	if err != nil || lock == nil {
-		t.Fatalf("the lock is kept: %v", err)
+		t.Fatalf("the lock is not free after the updates: %v", err)
 	}
 	defer lock.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if err := a.update(ctx, func(*operatorOrders) {}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("with the lock held: %v", err)
+		t.Errorf("update with the lock held: got %v, want a time-out", err)
 	}
 }
 
-// Two calls cross: the one that was noted first has its turn in the loop last. It does not undo the other one.
+// Guards against an order undoing a later one that the loop applies before it.
 func TestConcurrentOrdersBothApply(t *testing.T) {
 	s := newServer(t, okAll)
 	h := newLoopHarness(t)
@@ -174,13 +177,13 @@
 	second.apply(h.loop)
 	first.apply(h.loop)
 	for range 2 {
-		want(t, "a call's answer", <-results, nil)
+		want(t, "error of a call", <-results, nil)
 	}
-	want(t, "left out", len(h.inMaintenance), 2)
-	want(t, "drained", d.front.closeAfterResponse(), true)
+	want(t, "upstreams in maintenance", len(h.inMaintenance), 2)
+	want(t, "draining", d.front.closeAfterResponse(), true)
 }
 
-// succeed starts another process of b, on the same socket and beside it. Its discovery has told nothing yet.
+// startSuccessor starts another process of b that shares its listening socket. Its discovery has not answered yet.
 func (b *balancer) startSuccessor(t *testing.T, l net.Listener, members ...member) *balancer {
 	t.Helper()
 	admin := freeAddress(t)
@@ -191,8 +194,8 @@
 	return successor
 }
 
-// One process takes over from another under load: no request meets a refused or reset connection, what was taken is
-// answered, and what operators called for holds in both, whichever was told.
+// Guards against refused or reset connections, unanswered requests and orders that apply to only one of the two processes
+// during a handover under load.
 func TestHandoverLosesNoRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -217,59 +220,59 @@
 	old := first.startSuccessor(t, l, members...)
 	old.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	old.until(t, "ready", func() bool { return old.call(t, "GET", "/control/ready") == 200 })
-	want(t, "out", old.call(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
+	want(t, "status of offline", old.call(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
 
 	inFlight := old.connect(t)
 	inFlight.send(t, old.ask("checkin", "", "X-Hold", "1"))
-	old.until(t, "the request is with the server", held.Load)
+	old.until(t, "request received by the upstream", held.Load)
 	successor := old.startSuccessor(t, l, members...)
-	successor.until(t, "an admin listener that says no without a list", func() bool { return successor.call(t, "GET", "/control/ready") == 503 })
-	want(t, "it asks for the whole list, which is told at once", <-successor.registry.calls, "")
+	successor.until(t, "not ready without a list", func() bool { return successor.call(t, "GET", "/control/ready") == 503 })
+	want(t, "query of its first call, for the whole list", <-successor.registry.calls, "")
 	successor.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
-	successor.until(t, "the new one is ready", func() bool { return successor.call(t, "GET", "/control/ready") == 200 })
-	// Told to the new one while both take connections: it holds in both from the yes on.
-	want(t, "drain", successor.call(t, "PUT", "/control/out-of-service"), 200)
+	successor.until(t, "new process ready", func() bool { return successor.call(t, "GET", "/control/ready") == 200 })
+	// While both accept connections, an order to the new one applies to both once the call has succeeded.
+	want(t, "status of out-of-service", successor.call(t, "PUT", "/control/out-of-service"), 200)
 	for range 20 {
-		want(t, "health in the drain", old.health(t), 503)
+		want(t, "health during the drain", old.health(t), 503)
 	}
-	want(t, "back", successor.call(t, "PUT", "/control/in-service"), 200)
+	want(t, "status of in-service", successor.call(t, "PUT", "/control/in-service"), 200)
 	for range 20 {
-		want(t, "health", old.health(t), 200)
+		want(t, "health after the drain", old.health(t), 200)
 	}
 	idle := old.connect(t)
 	idle.send(t, old.ask("read", ""))
-	want(t, "kept", idle.answer(t).Close, false)
+	want(t, "response closes the connection", idle.answer(t).Close, false)
 	old.cancel()
 	idle.send(t, old.ask("read", ""))
 	resp := idle.answer(t)
-	want(t, "on a kept connection", resp.StatusCode, 200)
-	for range 50 { // until the old one has closed what it had, and beyond
+	want(t, "status on an idle connection", resp.StatusCode, 200)
+	for range 50 { // until the old process has closed its connections, and longer
 		c := successor.connect(t)
 		c.send(t, successor.ask("read", ""))
-		want(t, "on a new connection", c.answer(t).StatusCode, 200)
+		want(t, "status on a new connection", c.answer(t).StatusCode, 200)
 	}
 	close(hold)
 	resp = inFlight.answer(t)
-	want(t, "taken by the old one", resp.StatusCode, 200)
+	want(t, "status of the old process's request in flight", resp.StatusCode, 200)
 	if err := <-old.ended; err != nil {
 		t.Error(err)
 	}
 	old.ended <- nil
-	want(t, "health of the new one", successor.health(t), 200)
+	want(t, "health of the new process", successor.health(t), 200)
 	select {
 	case r := <-offline.arrivals:
-		t.Errorf("sent to an upstream in maintenance: %s", r.URL)
+		t.Errorf("a request was sent to an upstream in maintenance: %s", r.URL)
 	default:
 	}
-	want(t, "back from maintenance", successor.call(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
-	successor.until(t, "used again", func() bool {
+	want(t, "status of online", successor.call(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
+	successor.until(t, "upstream used after maintenance", func() bool {
 		_, body := successor.do(t, successor.ask("read", ""))
 		return body == "never"
 	})
 }
 
-// A balancer that was drained before its process was replaced is drained after it, and yet ready; SIGTERM ends it as
-// any other.
+// Guards against a new process that forgets that the balancer was out of service, is not ready because of it, or does not
+// shut down.
 func TestDrainSurvivesRestart(t *testing.T) {
 	s := newServer(t, okAll)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -280,19 +283,19 @@
 	members := []member{up("s-00000001", s)}
 	first := &balancer{config: Config{StateDir: t.TempDir()}}
 	if err := os.WriteFile(filepath.Join(first.config.StateDir, "olivearch-n0.json"),
-		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"fields are passed over"}`), 0o600); err != nil {
+		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"unknown fields are ignored"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	b := first.startSuccessor(t, l, members...)
 	b.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.until(t, "ready", func() bool { return b.call(t, "GET", "/control/ready") == 200 })
 	want(t, "health", b.health(t), 503)
-	want(t, "back, of one that no list names now", b.call(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
+	want(t, "status of online for an unlisted upstream", b.call(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
 	c := b.connect(t)
 	c.send(t, b.ask("read", ""))
 	resp := c.answer(t)
-	want(t, "served in the drain", resp.StatusCode, 200)
-	want(t, "closes behind it", resp.Close, true)
+	want(t, "status during the drain", resp.StatusCode, 200)
+	want(t, "response closes the connection", resp.Close, true)
 	b.cancel()
 	if err := <-b.ended; err != nil {
 		t.Error(err)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -12,7 +12,7 @@
 	"garnettide"
 )
 
-// hand is a loop that a test turns by hand.
+// loopHarness is a loop that is not running: the test applies its events.
 type loopHarness struct {
 	*loop
 	t    *testing.T
@@ -28,15 +28,16 @@
 	c.CachedList = discoveryList{}
 	l := newLoop(t.Context(), &c)
 	l.start(&c, nil)
-	l.Watch(false) // nothing listens there
+	l.Watch(false) // there is no discovery server
 	return &loopHarness{l, t, c.Plan}
 }
 
+// setMembers applies a complete list from discovery.
 func (h *loopHarness) setMembers(revision uint64, members ...member) {
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
 }
 
-// ask sends a request and turns the loop until it is answered and its attempts are over.
+// roundTrip sends a request, and applies events until it is answered and its attempts have ended.
 func (h *loopHarness) roundTrip(name string, budget time.Duration) clientResponse {
 	h.t.Helper()
 	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
@@ -50,7 +51,7 @@
 			e.apply(h.loop)
 			h.reportPending()
 		case <-time.After(10 * time.Second):
-			h.t.Fatal("nothing happens")
+			h.t.Fatal("no event within 10 s")
 		}
 	}
 	return <-r.responseCh
@@ -65,8 +66,8 @@
 	return false
 }
 
-// Thousands of upstreams come and go under new ids, each at the address of the one before, with ever new requests: what
-// the loop keeps returns to its size, and no connection crosses over from an old id to a new one.
+// Guards against state that the loop keeps for removed upstreams and finished requests, and against using a connection of a
+// removed upstream for one with another id at the same address.
 func TestUpstreamTurnoverLeavesNoState(t *testing.T) {
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { return ok(c, r.Header.Get("X-Request-Id")) })
 	go func() {
@@ -85,46 +86,47 @@
 	}
 	want(t, "connections opened", s.opened(), ids)
 	want(t, "upstreams", len(h.upstreams), 1)
-	want(t, "numbers", len(h.upstreamIDs.ids), 1)
-	want(t, "numbers taken", len(h.upstreamIDs.taken), 1)
+	want(t, "assigned upstream numbers", len(h.upstreamIDs.ids), 1)
+	want(t, "taken upstream numbers", len(h.upstreamIDs.taken), 1)
 	want(t, "requests", len(h.requests), 0)
-	want(t, "their ids", len(h.openIDs), 0)
+	want(t, "open client request IDs", len(h.openIDs), 0)
 	want(t, "connections", h.connCount, 1)
-	h.clockBase += 5 * time.Second // all deadlines are over
+	h.clockBase += 5 * time.Second // past all deadlines
 	h.fireTimers()
-	if n := len(h.timers); n > 5 { // the module's own timers
-		t.Errorf("alarms: %d are left", n)
+	if n := len(h.timers); n > 5 { // the Balancer's own timers
+		t.Errorf("%d timers are left, want at most 5", n)
 	}
 	h.setMembers(90000, draining(up("s-0fffffff", s)))
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
-	want(t, "numbers after the removal of what was never listed", len(h.upstreamIDs.ids), 1)
+	want(t, "upstream numbers after the removal of an unlisted one", len(h.upstreamIDs.ids), 1)
 }
 
-// At the bound of connections the one that idles longest makes room, at whatever upstream: the one that is asked is not
-// to blame.
+// Guards against refusing an attempt at the connection limit while a connection to any upstream is idle: the one that has
+// been idle longest has to be closed.
 func TestOldestIdleConnectionIsEvicted(t *testing.T) {
 	one, two := newServer(t, okAll), newServer(t, okAll)
 	h := newLoopHarness(t)
 	h.maxConns = 1
 	h.setMembers(20, up("s-00000001", one))
-	want(t, "first", h.roundTrip("1", time.Second).status, 200)
+	want(t, "status of the first request", h.roundTrip("1", time.Second).status, 200)
 	h.setMembers(21, up("s-00000001", one), up("s-00000002", two))
 	for i := 0; len(two.arrivals) == 0; i++ {
 		if i > 20 {
-			t.Fatal("the second upstream is never asked")
+			t.Fatal("the second upstream got no request")
 		}
-		want(t, "next", h.roundTrip(fmt.Sprint("a", i), time.Second).status, 200)
+		want(t, "status of a later request", h.roundTrip(fmt.Sprint("a", i), time.Second).status, 200)
 		want(t, "connections", h.connCount, 1)
 	}
 }
 
-// A second copy that comes behind an answer, in a segment of its own, is not taken for the next request's answer.
+// Guards against taking a duplicate response that arrives late, in a segment of its own, for the response to the next
+// request.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
 	duplicated := make(chan struct{}, 2)
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		ok(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
-			time.Sleep(connReuseDelay / 2) // later than the answer, sooner than the connection has rested
+			time.Sleep(connReuseDelay / 2) // after the response, within the delay
 			ok(c, "1")
 			duplicated <- struct{}{}
 		}
@@ -132,27 +134,28 @@
 	})
 	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
-	want(t, "first", string(h.roundTrip("1", time.Second).body), "1")
+	want(t, "response to the first request", string(h.roundTrip("1", time.Second).body), "1")
 	<-duplicated
-	want(t, "second", string(h.roundTrip("2", time.Second).body), "2")
+	want(t, "response to the second request", string(h.roundTrip("2", time.Second).body), "2")
 	want(t, "connections opened", s.opened(), 2)
 }
 
-// A connection rests for longer than second copies were seen to be late, and serves again behind that.
+// Guards against reusing a connection before connReuseDelay, and against not reusing it afterwards.
 func TestConnReuseDelay(t *testing.T) {
 	s := newServer(t, okAll)
 	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
-	want(t, "first", h.roundTrip("1", time.Second).status, 200)
+	want(t, "status of the first request", h.roundTrip("1", time.Second).status, 200)
 	u := h.upstreams[h.upstreamIDs.id("s-00000001")]
 	idleSince := u.idleConns[0].idleAt
 	c, _ := h.acquireConn(u, idleSince+4*time.Millisecond)
-	want(t, "used within the rest", c != nil, false)
+	want(t, "used within the delay", c != nil, false)
 	c, _ = h.acquireConn(u, idleSince+connReuseDelay)
-	want(t, "used behind it", c != nil, true)
+	want(t, "used after the delay", c != nil, true)
 }
 
-// An upstream that is gone with an attempt out is forgotten once that ends, and its connection is not kept.
+// Guards against keeping an upstream that was removed with an attempt in flight, or its connection, after the attempt has
+// ended.
 func TestRemovedUpstreamIsDroppedAfterItsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-release; return okAll(c, r) })
@@ -165,15 +168,15 @@
 	h.reportPending()
 	<-s.arrivals
 	h.setMembers(21, up("s-00000002", s))
-	want(t, "upstreams while it is out", len(h.upstreams), 2)
+	want(t, "upstreams while the attempt is in flight", len(h.upstreams), 2)
 	close(release)
 	(<-h.events).apply(h.loop)
-	want(t, "answer", (<-r.responseCh).status, 200)
-	want(t, "upstreams", len(h.upstreams), 1)
-	want(t, "connections", h.connCount, 0)
+	want(t, "status", (<-r.responseCh).status, 200)
+	want(t, "upstreams after the attempt", len(h.upstreams), 1)
+	want(t, "connections after the attempt", h.connCount, 0)
 }
 
-// An attempt for which there is no connection was never sent, through no fault of the upstream's.
+// Guards against opening a connection over the limit for an attempt when no idle one can be closed.
 func TestAttemptOverConnLimitIsNotSent(t *testing.T) {
 	h := newLoopHarness(t)
 	h.maxConns = 0
@@ -181,10 +184,10 @@
 	h.setMembers(20, up("s-00000001", s))
 	want(t, "status", h.roundTrip("1", time.Second).status, http.StatusServiceUnavailable)
 	want(t, "connections", h.connCount, 0)
-	want(t, "upstreams asked", s.opened(), 0)
+	want(t, "connections opened", s.opened(), 0)
 }
 
-// lateConns makes new connections come up only once they are let: begun tells of each that waits.
+// delayConns delays new connections until release is closed. dialing receives the address of each one.
 func (h *loopHarness) delayConns() (dialing chan string, release chan struct{}) {
 	dialing, release = make(chan string, 10), make(chan struct{})
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -195,7 +198,7 @@
 	return dialing, release
 }
 
-// next turns the loop by one event.
+// applyNextEvent waits for an event and applies it.
 func (h *loopHarness) applyNextEvent() {
 	h.t.Helper()
 	select {
@@ -203,11 +206,11 @@
 		e.apply(h.loop)
 		h.reportPending()
 	case <-time.After(10 * time.Second):
-		h.t.Fatal("nothing happens")
+		h.t.Fatal("no event within 10 s")
 	}
 }
 
-// begin hands the loop a request and does not wait for its end.
+// startRequest passes a request to the loop and does not wait for its response.
 func (h *loopHarness) startRequest(class, name string, budget time.Duration) *request {
 	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = class, budget
@@ -217,18 +220,18 @@
 	return r
 }
 
-// A request that is over goes to no upstream any more: what of it waits for a connection as another copy is answered, as
-// the module gives it up, as its time runs out or as its client leaves is never written once the connection is up.
+// Guards against writing an attempt that was waiting for its connection when its request was answered, refused, timed out
+// or abandoned by its client.
 func TestClosedRequestIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(h *loopHarness, r *request){
 		"answered": func(h *loopHarness, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
-		"given up": func(h *loopHarness, r *request) { h.Refuse(r.ID, 0) },
-		"out of time": func(h *loopHarness, r *request) {
+		"refused":  func(h *loopHarness, r *request) { h.Refuse(r.ID, 0) },
+		"timed out": func(h *loopHarness, r *request) {
 			for !r.closed {
 				h.fireTimers()
 			}
 		},
-		"left": func(h *loopHarness, r *request) { clientLeft{r}.apply(h.loop) },
+		"client left": func(h *loopHarness, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, okAll)
@@ -239,18 +242,18 @@
 			<-dialing
 			end(h, r)
 			h.reportPending()
-			want(t, "over", r.closed, true)
+			want(t, "closed", r.closed, true)
 			close(release)
-			h.applyNextEvent() // the attempt's end, with its connection
+			h.applyNextEvent() // attemptFinished, with the connection
 			want(t, "requests written", len(s.arrivals), 0)
 			want(t, "connections kept", h.connCount, 1)
 			want(t, "requests open", len(h.requests), 0)
-			want(t, "outcomes that the module still waits for", r.inFlight, 0)
+			want(t, "attempts in flight", r.inFlight, 0)
 		})
 	}
 }
 
-// clock sets the clock by which attempts are written.
+// fakeClock replaces the clock of the loop's transport, by which attempts are written, and returns it.
 func (h *loopHarness) fakeClock() *atomic.Int64 {
 	var fakeClock atomic.Int64
 	fakeClock.Store(int64(h.now()))
@@ -258,8 +261,8 @@
 	return &fakeClock
 }
 
-// repeats begins a keyed request at one upstream, sends it again at another one, and lets the two connections come up in an
-// order, with so much time gone by before the second. It returns how many were written.
+// writeTwoAttempts sends a request with an idempotency key to two upstreams, and lets the two connections open in
+// connectOrder, the second one after delay. It returns how many attempts were written.
 func writeTwoAttempts(t *testing.T, connectOrder [2]int, delay time.Duration) int {
 	const window = time.Second
 	stop := make(chan struct{})
@@ -286,32 +289,33 @@
 	select {
 	case <-servers[connectOrder[1]].arrivals:
 		return 2
-	case e := <-h.events: // it ended without
-		want(t, "how it ended", e.(attemptFinished).status, garnettide.NotSent)
+	case e := <-h.events: // not written
+		want(t, "status of the attempt not written", e.(attemptFinished).status, garnettide.NotSent)
 		return 1
 	}
 }
 
-// What a window allows as an attempt is decided on has to hold as it is written: a connection may come up after it, and
-// that of the first attempt behind that of the second.
+// Guards against writing a repeated attempt after its deduplication window because its connection opened late, or because
+// that of the first attempt opened last.
 func TestWriteDeadlineIsCheckedAtWrite(t *testing.T) {
 	for name, c := range map[string]struct {
-		order [2]int
-		late  time.Duration
-		want  int
+		connectOrder [2]int
+		delay        time.Duration
+		want         int
 	}{
-		"in time":             {[2]int{0, 1}, time.Second / 2, 2},
-		"late":                {[2]int{0, 1}, time.Second, 1},
-		"first last":          {[2]int{1, 0}, time.Second / 2, 2},
-		"first last and late": {[2]int{1, 0}, time.Second, 1},
+		"in time":           {[2]int{0, 1}, time.Second / 2, 2},
+		"late":              {[2]int{0, 1}, time.Second, 1},
+		"reversed":          {[2]int{1, 0}, time.Second / 2, 2},
+		"reversed and late": {[2]int{1, 0}, time.Second, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			want(t, "attempts written", writeTwoAttempts(t, c.order, c.late), c.want)
+			want(t, "attempts written", writeTwoAttempts(t, c.connectOrder, c.delay), c.want)
 		})
 	}
 }
 
-// What a request states of its time is what is left as it is written, and one whose time is over is not written.
+// Guards against an X-Deadline-Ms that is not the time left when the request is written, and against writing a request
+// whose deadline has passed.
 func TestDeadlineHeaderIsSetAtWrite(t *testing.T) {
 	for delay, wantHeader := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
 		s := newServer(t, okAll)
@@ -327,17 +331,16 @@
 		if wantHeader == "" {
 			want(t, "requests written", len(s.arrivals), 0)
 		} else {
-			want(t, "time stated", (<-s.arrivals).Header.Get("X-Deadline-Ms"), wantHeader)
+			want(t, "X-Deadline-Ms", (<-s.arrivals).Header.Get("X-Deadline-Ms"), wantHeader)
 		}
 	}
 }
 
-// A list that has come goes before whatever is sent after it, each of several, and also where alarms that are due follow
-// one another.
+// Guards against sending a request before all queued lists are applied, including between two expired timers.
 func TestQueuedListsApplyBeforeSends(t *testing.T) {
 	for name, trigger := range map[string]func(h *loopHarness, r *request){
-		"an event": func(h *loopHarness, r *request) { h.handle(requestReceived{r}) },
-		"an alarm": func(h *loopHarness, r *request) {
+		"event": func(h *loopHarness, r *request) { h.handle(requestReceived{r}) },
+		"timer": func(h *loopHarness, r *request) {
 			h.addTimer(loopTimer{at: h.now(), request: &request{attempts: []*attempt{{reported: true}}}})
 			h.fireTimers()
 			requestReceived{r}.apply(h.loop)
@@ -360,7 +363,7 @@
 	}
 }
 
-// toldConn tells of what goes to the upstream, in order, and holds up who reads its end.
+// recordingConn reports its writes to calls, and delays read errors until releaseReads is closed.
 type recordingConn struct {
 	*net.TCPConn
 	name         string
@@ -382,12 +385,12 @@
 }
 
 func (c recordingConn) CloseWrite() error {
-	c.calls <- c.name + " given up"
+	c.calls <- c.name + " aborted"
 	return c.TCPConn.CloseWrite()
 }
 
-// An attempt that is given up is over for its upstream before the next one is written, however late its connection's
-// reader comes to close it: two out at once are a second copy.
+// Guards against writing the next attempt while the upstream may still execute an aborted one, however late the goroutine
+// that reads the connection closes it.
 func TestAbortPrecedesNextAttempt(t *testing.T) {
 	releaseReads := make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
@@ -398,44 +401,44 @@
 		if err != nil {
 			return nil, err
 		}
-		n++ // one after another
+		n++ // connections are opened one at a time
 		return recordingConn{c.(*net.TCPConn), fmt.Sprint(n), calls, releaseReads}, nil
 	}
 	t.Cleanup(func() { close(releaseReads) })
 	h.setMembers(20, up("s-00000001", s))
 	r := h.startRequest("read", "1", 4*time.Second)
-	want(t, "first", <-calls, "1 written")
+	want(t, "first call", <-calls, "1 written")
 	<-s.arrivals
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
-	if len(r.attempts) == 1 { // the module waits for a turn
+	if len(r.attempts) == 1 { // the Balancer pauses before the next attempt
 		h.Send(r.ID, r.attempts[0].upstream.id, 0, 0)
 	}
-	want(t, "next", <-calls, "1 given up")
-	want(t, "then", <-calls, "2 written")
+	want(t, "second call", <-calls, "1 aborted")
+	want(t, "third call", <-calls, "2 written")
 }
 
-// An attempt is given up in the moment in which its answer has come: its connection does not serve again.
+// Guards against reusing the connection of an attempt that is aborted just as its response arrives.
 func TestAbortedConnectionIsNotReused(t *testing.T) {
 	s := newServer(t, okAll)
 	h := newLoopHarness(t)
 	h.setMembers(20, up("s-00000001", s))
 	r := h.startRequest("read", "1", 4*time.Second)
-	e := <-h.events // the answer, which the loop has not heard of
+	e := <-h.events // the response, not applied yet
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	e.apply(h.loop)
 	want(t, "connections kept", len(h.upstreams[r.attempts[0].upstream.id].idleConns), 0)
 }
 
-// A watch that has fallen silent is opened anew at once, and so is the first one after discovery has moved: their news
-// soon counts as told. What fails is asked again when the module says so.
+// Guards against a delay before the next watch call when a watch went silent or discovery has a new address. After a
+// failed call the Balancer decides when to call again.
 func TestWatchIsReopenedImmediately(t *testing.T) {
 	for name, c := range map[string]struct {
-		happen  func(h *loopHarness)
-		watches bool
+		trigger   func(h *loopHarness)
+		wantWatch bool
 	}{
 		"silent": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
-		"moved": {func(h *loopHarness) {
-			h.stopWatch = func() {} // one is open
+		"new address": {func(h *loopHarness) {
+			h.stopWatch = func() {} // a watch is open
 			configReloaded{reloadOf(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
 		}, true},
 		"failed": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
@@ -443,8 +446,8 @@
 		t.Run(name, func(t *testing.T) {
 			h := newLoopHarness(t)
 			h.stopWatch = nil
-			c.happen(h)
-			want(t, "a new watch", h.stopWatch != nil, c.watches)
+			c.trigger(h)
+			want(t, "new watch", h.stopWatch != nil, c.wantWatch)
 		})
 	}
 }
--- a/internal/proxy/memnet_test.go
+++ b/internal/proxy/memnet_test.go
@@ -21,20 +21,20 @@
 	"garnettide/internal/wire"
 )
 
-// A network within the process, for balancers whose clock is a bubble's of testing/synctest.
+// This file provides an in-memory network for balancers in a testing/synctest bubble, and the tests that need one.
 
-// errRefused says that nobody listens.
+// errConnRefused reports that nothing listens.
 var errConnRefused = errors.New("connection refused")
 
-// memConn is one end of a connection within the process.
+// memConn is one end of an in-memory connection.
 type memConn struct {
 	net.Conn
 	peer      *memConn
 	closed    atomic.Bool
-	emptyPipe *os.File // an open pipe in which nothing ever comes
+	emptyPipe *os.File // from newEmptyPipe; tells that no bytes have arrived
 }
 
-// memPipe returns the two ends of a connection.
+// memPipe returns the two ends of an in-memory connection.
 func memPipe(emptyPipe *os.File) (clientEnd, serverEnd *memConn) {
 	a, b := net.Pipe()
 	clientEnd, serverEnd = &memConn{Conn: a, emptyPipe: emptyPipe}, &memConn{Conn: b, emptyPipe: emptyPipe}
@@ -49,7 +49,8 @@
 
 func (c *memConn) SyscallConn() (syscall.RawConn, error) { return memRawConn{c}, nil }
 
-// memRaw shows whether the other end is closed. What it sends is not seen: a pipe holds nothing.
+// memRawConn reports whether the other end is closed. It does not show bytes that the other end sends, as a net.Pipe has no
+// buffer.
 type memRawConn struct{ *memConn }
 
 func (r memRawConn) Control(f func(fd uintptr)) error {
@@ -67,7 +68,7 @@
 	return raw.Read(func(fd uintptr) bool { f(fd); return true })
 }
 
-// memListener takes connections that dial makes.
+// memListener accepts the connections made by dial.
 type memListener struct {
 	conns     chan net.Conn
 	closed    chan struct{}
@@ -101,7 +102,7 @@
 	}
 }
 
-// silentPipe is what memConn asks whether bytes have come.
+// newEmptyPipe returns the read end of an open pipe that is never written to.
 func newEmptyPipe(t *testing.T) *os.File {
 	t.Helper()
 	r, w, err := os.Pipe()
@@ -112,12 +113,12 @@
 	return r
 }
 
-// memUpstream is an upstream within the process. It counts the requests that begin, by their first byte.
+// memUpstream is an in-memory upstream. It counts requests when their first byte arrives.
 type memUpstream struct {
 	address         string
 	requestsStarted atomic.Int32
 	respond         func(c net.Conn, r *http.Request) bool
-	serve           func(c net.Conn) // takes the place of reading requests for answer
+	serve           func(c net.Conn) // if set, serves connections instead of respond
 	emptyPipe       *os.File
 }
 
@@ -150,23 +151,23 @@
 	return member{ID: id, HostPort: u.address, Locality: "z1", Phase: "up", Size: 1}
 }
 
-// noDiscovery does not let a connection come up: there is no news but what a test tells.
+// dialBlocked blocks until ctx ends, so that only the test provides lists.
 func dialBlocked(ctx context.Context, _, _ string) (net.Conn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// virtual is a loop and a front in a bubble, before upstreams within the process.
+// memBalancer is a loop and a frontend in a bubble, with in-memory upstreams.
 type memBalancer struct {
 	*loop
 	cancel       context.CancelFunc
 	front        *frontend
-	memUpstreams map[string]*memUpstream
-	connectGate  chan struct{} // connections to upstreams come up once it is closed
+	memUpstreams map[string]*memUpstream // by address
+	connectGate  chan struct{}           // connections to upstreams open once it is closed
 	emptyPipe    *os.File
 }
 
-// virtualConfig is a configuration without a list, with the settings that set leaves.
+// newMemBalancerConfig returns a configuration without a cached list, modified by set.
 func memBalancerConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
 	t.Helper()
 	c, err := load(t, configText, nil)
@@ -212,7 +213,7 @@
 	b.listUpdates <- listUpdate{from: b.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
 }
 
-// begun is how many requests have begun at all upstreams.
+// requestsStarted returns how many requests have started at all upstreams.
 func (b *memBalancer) requestsStarted() (n int) {
 	for _, u := range b.memUpstreams {
 		n += int(u.requestsStarted.Load())
@@ -220,29 +221,28 @@
 	return n
 }
 
-// A client that has gone is known to have within 0.1 s: no attempt begins later, be its request held, on its way to an
-// upstream whose connection is not up yet, to be repeated after a failure, or owed a second copy. With a client that stays
-// each of them begins.
+// Guards against starting an attempt more than 0.1 s after the client has left: one of a queued request, one that waits for
+// its connection, a retry or a hedge. With a client that stays, each of them starts.
 func TestNoAttemptStartsAfterClientLeaves(t *testing.T) {
 	const detectionLimit = 100 * time.Millisecond
 	for name, c := range map[string]struct {
 		class           string
-		requestsStarted int // by the time that the client goes
-		// meet brings a request to its state, and returns what lets the attempt in question begin.
+		requestsStarted int // by the time the client leaves
+		// prepare brings a request to the state of the case, and returns a function that lets the attempt start.
 		prepare func(b *memBalancer, sendRequest func()) (startAttempt func())
 	}{
-		"held": {"checkin", 0, func(b *memBalancer, sendRequest func()) func() {
+		"queued": {"checkin", 0, func(b *memBalancer, sendRequest func()) func() {
 			close(b.connectGate)
 			u := b.addUpstream(okAll)
 			sendRequest()
 			return func() { b.sendList(50, u.member("s-00000001")) }
 		}},
-		"its connection comes up late": {"checkin", 0, func(b *memBalancer, sendRequest func()) func() {
+		"waits for its connection": {"checkin", 0, func(b *memBalancer, sendRequest func()) func() {
 			b.sendList(50, b.addUpstream(okAll).member("s-00000001"))
 			sendRequest()
 			return func() { close(b.connectGate) }
 		}},
-		"repeated": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
+		"retry": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
 			close(b.connectGate)
 			fail := make(chan struct{})
 			failFirst := func(c net.Conn, r *http.Request) bool {
@@ -256,12 +256,12 @@
 			sendRequest()
 			return func() { close(fail) }
 		}},
-		"copied": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
+		"hedge": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
 			close(b.connectGate)
 			neverRespond := func(c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }
 			b.sendList(50, b.addUpstream(neverRespond).member("s-00000001"), b.addUpstream(neverRespond).member("s-00000002"))
 			sendRequest()
-			return func() {} // in time the module takes the first one for silent
+			return func() {} // the Balancer hedges when the first attempt is late
 		}},
 	} {
 		for _, leaves := range []bool{true, false} {
@@ -270,7 +270,7 @@
 					b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
 					clientEnd, serverEnd := memPipe(b.emptyPipe)
 					startAttempt := c.prepare(b, func() {
-						synctest.Wait() // the list
+						synctest.Wait() // for the list to be applied
 						b.front.startClient(serverEnd)
 						key := ""
 						if c.class == "pay" {
@@ -280,7 +280,7 @@
 							"Content-Length: 0\r\n\r\n", c.class, c.class, key)
 						synctest.Wait()
 					})
-					want(t, "begun at first", b.requestsStarted(), c.requestsStarted)
+					want(t, "requests started at first", b.requestsStarted(), c.requestsStarted)
 					if leaves {
 						clientEnd.Close()
 					} else {
@@ -291,12 +291,12 @@
 					time.Sleep(3 * time.Second)
 					synctest.Wait()
 					if leaves {
-						want(t, "begun once the client had gone", b.requestsStarted(), c.requestsStarted)
+						want(t, "requests started after the client had left", b.requestsStarted(), c.requestsStarted)
 					} else {
-						want(t, "begun while the client waits", b.requestsStarted(), c.requestsStarted+1)
+						want(t, "requests started while the client waits", b.requestsStarted(), c.requestsStarted+1)
 					}
 					clientEnd.Close()
-					time.Sleep(2 * lateResponseTimeout) // what hangs is given up
+					time.Sleep(2 * lateResponseTimeout) // late responses are no longer awaited
 					b.cancel()
 					time.Sleep(time.Second)
 				})
@@ -305,9 +305,8 @@
 	}
 }
 
-// The same for a request whose body is more than can be held: nobody reads its client on until an attempt takes the body.
-// The test counted one request that began 0.1 s after its client's close: the close lies behind bytes of the body, so that
-// no read shows it, and an attempt that was written went by what reading had shown. The system tells of it without a read.
+// Guards against starting an attempt after the client of an upload that exceeds the buffer has left. The client is not read
+// until an attempt takes the body, so the close, which follows unread bytes, has to be detected without a read.
 func TestNoAttemptStartsAfterClientOfLargeUploadLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
@@ -322,39 +321,39 @@
 		time.Sleep(100 * time.Millisecond)
 		b.sendList(50, u.member("s-00000001"))
 		time.Sleep(10 * time.Second)
-		want(t, "begun once the client had gone", b.requestsStarted(), 0)
+		want(t, "requests started after the client had left", b.requestsStarted(), 0)
 		b.cancel()
 		time.Sleep(time.Second)
 	})
 }
 
-// meet opens a client's connection.
+// connectClient opens a client connection.
 func (b *memBalancer) connectClient() *memConn {
 	clientEnd, serverEnd := memPipe(b.emptyPipe)
 	b.front.startClient(serverEnd)
 	return clientEnd
 }
 
-// rest lets what hangs be given up, and ends all.
+// expireAndStop waits until late responses are no longer awaited, and stops the balancer.
 func (b *memBalancer) expireAndStop() {
 	time.Sleep(2 * lateResponseTimeout)
 	b.cancel()
 	time.Sleep(time.Second)
 }
 
-// memDiscovery is a discovery within the process. It has one upstream, under a revision that a test raises.
+// memDiscovery is an in-memory discovery server. Its list has one upstream, and a revision that the test raises.
 type memDiscovery struct {
 	listener        *memListener
 	mu              sync.Mutex
-	outage          func(ctx context.Context) (net.Conn, error) // what a call meets; nil: an answer
+	outage          func(ctx context.Context) (net.Conn, error) // replaces connecting; nil: discovery can be reached
 	revision        uint64
-	revisionChanged chan struct{} // closed when the revision is raised, or discovery goes down
+	revisionChanged chan struct{} // closed when the revision is raised
 	conns           map[net.Conn]bool
-	callDuration    time.Duration // of its time for a call: calls are served in turn
+	callDuration    time.Duration // time to serve a call; calls are served one at a time
 	busyUntil       time.Time
 }
 
-// callWaits is how long a call may wait for its turn. Discovery works on it all the same.
+// maxQueueWait is how long a call may wait for earlier ones before it fails. A failed call takes callDuration all the same.
 const maxQueueWait = 2 * time.Second
 
 func newMemDiscovery(t *testing.T, emptyPipe *os.File) *memDiscovery {
@@ -409,7 +408,7 @@
 	fmt.Fprintf(w, `{"revision":%d,"complete":true,"members":[{"id":"s-00000001","host_port":"127.0.0.1:1","phase":"up"}]}`, d.revision)
 }
 
-// lose ends all connections; calls meet down from here on.
+// startOutage closes all connections; outage replaces connecting from then on.
 func (d *memDiscovery) startOutage(outage func(context.Context) (net.Conn, error)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -420,7 +419,7 @@
 	}
 }
 
-// back makes discovery reachable, with news.
+// endOutage makes discovery reachable again and raises its revision.
 func (d *memDiscovery) endOutage() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -430,9 +429,9 @@
 	d.revisionChanged = make(chan struct{})
 }
 
-// A balancer has the news 6 s after discovery can be reached again, however its calls have ended meanwhile: refused, given
-// up because no connection comes up, failed or reset; with no list of its discovery yet, also given up for want of an
-// answer. With one, a call that is taken and not answered is a silent watch, which has a clock of its own.
+// Guards against getting a new list later than 6 s after discovery can be reached again, however the calls in between
+// failed. Unanswered calls are tested only for a new process without a list: later they are silent watches, with a time-out
+// of their own.
 func TestDiscoveryRecoversAfterFailedCalls(t *testing.T) {
 	const deliveryLimit = 6 * time.Second
 	respondAfter := func(delay time.Duration, text string) func(context.Context) (net.Conn, error) {
@@ -461,7 +460,7 @@
 			if c.noAnswer && !newProcess {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, young %v", name, newProcess), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, new process %v", name, newProcess), func(t *testing.T) {
 				for _, outageLength := range []time.Duration{time.Second / 10, time.Second / 2, 4 * time.Second, 8 * time.Second, 21 * time.Second, 61 * time.Second} {
 					for seed := range uint64(4) {
 						synctest.Test(t, func(t *testing.T) {
@@ -471,23 +470,23 @@
 							}
 							b := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(x *Config, s *garnettide.Settings) {
 								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
-								if newProcess { // its first call comes at once, and has no list to go on from
+								if newProcess { // its first call is made at once, without an earlier revision
 									x.InheritedFD, s.Balancers = minInheritedFD, 1
 								}
 							})
 							if !newProcess {
 								time.Sleep(time.Minute)
-								want(t, "revision at first", b.appliedRevision(), 1)
+								want(t, "revision before the outage", b.appliedRevision(), 1)
 								d.startOutage(c.outage)
 							}
 							time.Sleep(outageLength)
 							d.endOutage()
 							time.Sleep(deliveryLimit)
 							if got := b.appliedRevision(); got != 2 {
-								t.Errorf("%v without discovery, seed %d: the news is not heard %v after its return", outageLength, seed, deliveryLimit)
+								t.Errorf("outage of %v, seed %d: no new list %v after its end", outageLength, seed, deliveryLimit)
 							}
 							b.cancel()
-							time.Sleep(2 * time.Minute) // the calls that still hang
+							time.Sleep(2 * time.Minute) // for pending calls to end
 						})
 					}
 				}
@@ -496,7 +495,7 @@
 	}
 }
 
-// revisionHeld is that of the list that the loop goes by.
+// appliedRevision returns the revision of the list that the loop has applied.
 func (b *memBalancer) appliedRevision() (revision int) {
 	done := make(chan struct{})
 	b.adminCalls <- adminLoopCall{fn: func(l *loop) { revision = int(l.revision) }, done: done}
@@ -504,8 +503,8 @@
 	return revision
 }
 
-// Nine in ten of the balancers that have been restarted at one moment, or replaced, are ready within 10 s: beside a
-// discovery that serves their calls in turn, and beside one that they can't reach, if they have a list from before.
+// Guards against slow starts: of balancers that are restarted or replaced at the same time, nine in ten must be ready within
+// 10 s, while discovery serves their calls one at a time or, if they have a cached list, cannot be reached.
 func TestRestartedBalancersAreReadyInTime(t *testing.T) {
 	const limit = 10 * time.Second
 	for name, c := range map[string]struct {
@@ -513,10 +512,10 @@
 		outage        func(context.Context) (net.Conn, error)
 		hasCachedList bool
 	}{
-		"in turn":               {60 * time.Millisecond, nil, true},
-		"in turn, with no list": {30 * time.Millisecond, nil, false},
-		"refused":               {0, func(context.Context) (net.Conn, error) { return nil, errConnRefused }, true},
-		"silent":                {0, func(ctx context.Context) (net.Conn, error) { return dialBlocked(ctx, "", "") }, true},
+		"one at a time":                      {60 * time.Millisecond, nil, true},
+		"one at a time, without cached list": {30 * time.Millisecond, nil, false},
+		"refused":                            {0, func(context.Context) (net.Conn, error) { return nil, errConnRefused }, true},
+		"no connection":                      {0, func(ctx context.Context) (net.Conn, error) { return dialBlocked(ctx, "", "") }, true},
 	} {
 		for _, replaced := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, replaced %v", name, replaced), func(t *testing.T) {
@@ -566,7 +565,7 @@
 					}
 					polling.Wait()
 					if n := ready.Load(); n < balancers*9/10 {
-						t.Errorf("%d of %d are ready after %v", n, balancers, limit)
+						t.Errorf("got %d of %d balancers ready after %v, want nine in ten", n, balancers, limit)
 					}
 					stop()
 					running.Wait()
@@ -577,7 +576,7 @@
 	}
 }
 
-// healthy tells whether a balancer says so on a connection of its own.
+// healthy reports whether a health check on a new connection succeeds.
 func healthy(listener *memListener) bool {
 	c, err := listener.dial()
 	if err != nil {
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -32,7 +32,7 @@
 	"garnettide/internal/wire"
 )
 
-// configWith returns a configuration of settingsText in which old and new, in turn, are replaced.
+// configTextWith returns the text of a configuration with settingsText. replacements alternates old and new substrings.
 func configTextWith(t testing.TB, discovery string, members []member, replacements ...string) string {
 	t.Helper()
 	known, err := json.Marshal(discoveryList{Revision: 10, Complete: true, Members: members})
@@ -42,7 +42,7 @@
 	text := settingsText
 	for i := 0; i < len(replacements); i += 2 {
 		if !strings.Contains(text, replacements[i]) {
-			t.Fatalf("no %s in the settings", replacements[i])
+			t.Fatalf("%s is not in the settings", replacements[i])
 		}
 		text = strings.Replace(text, replacements[i], replacements[i+1], 1)
 	}
@@ -50,7 +50,7 @@
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`, discovery, known, text)
 }
 
-// configOf is the Config of configWith.
+// parsedConfigWith returns the Config of configTextWith.
 func parsedConfigWith(t testing.TB, discovery string, members []member, replacements ...string) Config {
 	t.Helper()
 	c, err := decodeConfig(strings.NewReader(configTextWith(t, discovery, members, replacements...)), nil, func(*configFile) {})
@@ -60,26 +60,26 @@
 	return c
 }
 
-// again is a Reload of a configuration that the test has made.
+// reloadOf returns a Reload of a configuration.
 func reloadOf(c Config) Reload {
 	return Reload{Discovery: c.Discovery, ConnTimeouts: c.ConnTimeouts, Plan: c.Plan}
 }
 
-// reloading is a running balancer whose process reads its configuration again on a signal.
+// reloadableBalancer is a running balancer that reads its configuration again on a signal.
 type reloadableBalancer struct {
 	*balancer
 	configPath    string
 	hangups       chan os.Signal
-	appliedHashes chan string // the hash of each configuration as it goes in force, told on the loop
+	appliedHashes chan string // hash of each configuration that is applied; sent by the loop
 	log           *testLog
-	pauseHook     atomic.Pointer[func(time.Duration)] // takes the place of the sleep between two slices
+	pauseHook     atomic.Pointer[func(time.Duration)] // if set, replaces the sleep between two slices
 }
 
-// lines is a log that tests look into.
+// testLog is a log whose lines a test waits for.
 type testLog struct {
 	mu      sync.Mutex
 	text    strings.Builder
-	written chan struct{} // a line has come since the last look
+	written chan struct{} // buffered; a line was written
 }
 
 func (l *testLog) Write(b []byte) (int, error) {
@@ -92,7 +92,7 @@
 	return l.text.Write(b)
 }
 
-// has waits for a line that has all of the words.
+// waitForLine waits for a line that contains all words.
 func (l *testLog) waitForLine(t *testing.T, words ...string) {
 	t.Helper()
 	for timeout := time.After(10 * time.Second); ; {
@@ -116,14 +116,14 @@
 	}
 }
 
-// count tells how many times a word stands in the log.
+// count returns how often word occurs in the log.
 func (l *testLog) count(word string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), word)
 }
 
-// newReloading starts a balancer that reloads; set changes its configuration at the start.
+// newReloadableBalancer starts a balancer with a configuration modified by set.
 func newReloadableBalancer(t *testing.T, set func(*Config), members ...member) *reloadableBalancer {
 	t.Helper()
 	r := &reloadableBalancer{configPath: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
@@ -131,7 +131,7 @@
 	r.balancer = newBalancerWith(t, func(c *Config) {
 		c.OnConfigApplied = func(hash string, took time.Duration) {
 			if took < 0 || took > time.Minute {
-				t.Errorf("in force after %v", took)
+				t.Errorf("got %v until a configuration is in force, want 0 to 1 min", took)
 			}
 			r.appliedHashes <- hash
 		}
@@ -155,12 +155,13 @@
 	return map[string]string{"RELAY_CONFIG": r.configPath, "RELAY_OPERATOR": r.config.Operator}[name]
 }
 
-// write replaces the file by a configuration of settingsText in which old and new, in turn, are replaced.
+// writeConfig replaces the configuration file by the text of configTextWith, and returns its hash.
 func (r *reloadableBalancer) writeConfig(t *testing.T, replacements ...string) (hash string) {
 	t.Helper()
 	return r.writeConfigText(t, configTextWith(t, r.config.Discovery, nil, replacements...))
 }
 
+// writeConfigText replaces the configuration file, and returns its hash.
 func (r *reloadableBalancer) writeConfigText(t *testing.T, text string) (hash string) {
 	t.Helper()
 	if err := os.WriteFile(r.configPath+".new", []byte(text), 0o600); err != nil {
@@ -172,65 +173,65 @@
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:12]
 }
 
-// reload replaces the file likewise, signals, and waits until it is in force.
+// reloadWith calls writeConfig, signals, and waits until the configuration is in force.
 func (r *reloadableBalancer) reloadWith(t *testing.T, replacements ...string) {
 	t.Helper()
 	r.signalAndWait(t, r.writeConfig(t, replacements...))
 }
 
-// signal signals and waits until the configuration of a hash is in force.
+// signalAndWait signals, and waits until a configuration is in force, which must have the hash.
 func (r *reloadableBalancer) signalAndWait(t *testing.T, hash string) {
 	t.Helper()
 	r.hangups <- syscall.SIGHUP
-	want(t, "in force", r.nextAppliedHash(t), hash)
+	want(t, "hash in force", r.nextAppliedHash(t), hash)
 }
 
-// next waits for the next configuration in force.
+// nextAppliedHash waits until the next configuration is in force, and returns its hash.
 func (r *reloadableBalancer) nextAppliedHash(t *testing.T) string {
 	t.Helper()
 	select {
 	case hash := <-r.appliedHashes:
 		return hash
 	case <-time.After(20 * time.Second):
-		t.Fatalf("no configuration is in force in time:\n%s", r.log.text.String())
+		t.Fatalf("no configuration was applied within 20 s; log:\n%s", r.log.text.String())
 		return ""
 	}
 }
 
-// added puts a class of a name, which must never run twice, in front of those of settingsText.
+// addingClass returns replacements that add a non-idempotent class before those of settingsText.
 func addingClass(name string) []string {
 	return []string{`"profiles":[`, `"profiles":[{"name":"` + name +
 		`","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1},`}
 }
 
-// gone takes checkin out of settingsText.
+// removingCheckin holds replacements that remove the class checkin from settingsText.
 var removingCheckin = []string{`"worth":1},
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}]`, `"worth":1}]`}
 
-// A class that comes with a SIGHUP is served, one that goes is refused, limits and links are the new ones, and the log says
-// which configuration is in force, since when, and what it has changed.
+// Guards against a SIGHUP that does not apply added and removed classes, tenants, limits and connection time-outs, or does
+// not log what has changed.
 func TestReloadAppliesSettings(t *testing.T) {
 	s := newServer(t, okAll)
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
 	status, _ := r.do(t, r.ask("parcel", ""))
-	want(t, "a class that is not set yet", status, 400)
+	want(t, "status of a class before it is added", status, 400)
 	r.reloadWith(t, append(addingClass("parcel"), append(removingCheckin, `"connect_timeout_us":500000`, `"connect_timeout_us":70000`,
 		`"keepalive_us":60000000`, `"keepalive_us":20000000`, `"max_attempts":3`,
 		`"max_attempts":2,"retry_after":true,"max_retry_after_us":5000`,
 		`"name":"read","target_us":2000000,"give_up_us":4000000`, `"name":"read","target_us":2000000,"give_up_us":2500000`,
 		`"reporting"`, `"tenants":[{"name":"t1","quota_rps":2}],"reporting"`)...)...)
 	status, _ = r.do(t, r.ask("parcel", ""))
-	want(t, "the class that came", status, 200)
+	want(t, "status of the added class", status, 200)
 	status, _ = r.do(t, r.ask("checkin", ""))
-	want(t, "the class that went", status, 400)
+	want(t, "status of the removed class", status, 400)
 	status, _ = r.do(t, r.ask("parcel", "", "X-Tenant", "t1"))
-	want(t, "the tenant that came", status, 200)
+	want(t, "status of the added tenant", status, 200)
 	status, _ = r.do(t, r.ask("parcel", "", "X-Tenant", "t2"))
-	want(t, "a tenant that is not set", status, 503)
+	want(t, "status of an unknown tenant", status, 503)
 	r.loopSays(func(l *loop) bool {
 		want(t, "connect time-out", l.transport.timeout, 70*time.Millisecond)
-		want(t, "idle for", l.upstreamIdleTimeout, 15*time.Second)
-		want(t, "attempts", l.settings.Limits.MaxAttempts, 2)
+		want(t, "idle time-out", l.upstreamIdleTimeout, 15*time.Second)
+		want(t, "max attempts", l.settings.Limits.MaxAttempts, 2)
 		want(t, "retry-after", l.settings.Limits.RetryAfter, true)
 		return true
 	})
@@ -245,10 +246,10 @@
 	r.signalAndWait(t, hash)
 	r.log.waitForLine(t, "the file's bytes are the same", "hash="+hash)
 	status, _ = r.do(t, r.ask("parcel", ""))
-	want(t, "after the same again", status, 200)
+	want(t, "status after reloading the same file", status, 200)
 }
 
-// The hash that a start logs is that of the file it has read.
+// Guards against logging a hash at the start that is not that of the file.
 func TestConfigHashAtStart(t *testing.T) {
 	c, err := load(t, configText, nil)
 	if err != nil {
@@ -257,14 +258,14 @@
 	want(t, "hash", c.Hash, fmt.Sprintf("%x", sha256.Sum256([]byte(configText)))[:12])
 }
 
-// What is in hand ends as it was taken: a class that is gone is served to the end, and sent again where it may run twice;
-// nothing new of it is taken.
+// Guards against a reload that removes a class ending its requests in flight or preventing their retries, and against
+// accepting new requests of that class.
 func TestRemovedClassFinishesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	var received atomic.Int32
 	s := newServer(t, func(c net.Conn, r *http.Request) bool {
 		<-release
-		return received.Add(1) > 1 && okAll(c, r) // the first answer breaks off
+		return received.Add(1) > 1 && okAll(c, r) // the first connection is closed without a response
 	})
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
 	keyed := r.connect(t)
@@ -272,13 +273,13 @@
 	<-s.arrivals
 	r.reloadWith(t, `"name":"pay"`, `"name":"other"`, `"give_up_us":4000000`, `"give_up_us":2000000`)
 	status, _ := r.do(t, r.ask("pay", ""))
-	want(t, "a new request of the class that is gone", status, 400)
+	want(t, "status of a new request of the removed class", status, 400)
 	close(release)
-	want(t, "the one in hand", keyed.answer(t).StatusCode, 200)
-	want(t, "attempts of it", len(s.arrivals)+1, 2)
+	want(t, "status of the request in flight", keyed.answer(t).StatusCode, 200)
+	want(t, "its attempts", len(s.arrivals)+1, 2)
 }
 
-// A deadline that is changed while requests are in hand is that of the next ones. Each request ends once, in time.
+// Guards against a changed deadline applying to requests that are already in flight, or not to later ones.
 func TestReloadKeepsDeadlinesInFlight(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -289,7 +290,7 @@
 		r := h.startRequest("checkin", name, budget)
 		for limit := time.Now().Add(10 * time.Second); len(s.arrivals) == 0; h.fireTimers() {
 			if time.Now().After(limit) {
-				t.Fatal("request " + name + " is not sent")
+				t.Fatal("request " + name + " was not sent")
 			}
 		}
 		<-s.arrivals
@@ -299,50 +300,51 @@
 	shorter := parsedConfigWith(t, "127.0.0.1:8500", nil, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 		`"name":"checkin","target_us":500000,"give_up_us":1000000`)
 	configReloaded{reloadOf(shorter), nil}.apply(h.loop)
-	h.clockBase += time.Second // the module takes turns for short at first
+	h.clockBase += time.Second // the Balancer may pause between attempts to an upstream
 	after := startRequest("2", time.Second)
 	h.clockBase += 1100 * time.Millisecond
 	h.fireTimers()
-	want(t, "the new one has ended", len(after.responseCh), 1)
-	want(t, "the older one has not", len(before.responseCh), 0)
+	want(t, "responses to the new request", len(after.responseCh), 1)
+	want(t, "responses to the older request", len(before.responseCh), 0)
 	h.clockBase += 3 * time.Second
 	h.fireTimers()
-	want(t, "the older one has ended", (<-before.responseCh).status, http.StatusGatewayTimeout)
-	want(t, "the new one", (<-after.responseCh).status, http.StatusGatewayTimeout)
+	want(t, "status of the older request", (<-before.responseCh).status, http.StatusGatewayTimeout)
+	want(t, "status of the new request", (<-after.responseCh).status, http.StatusGatewayTimeout)
 }
 
-// A request is read by the settings before a reload, and heard by the loop after it: the client is told to go on with its
-// body once its head has been checked, and does so when the new settings are in force.
+// Guards against a wrong response, a wrong number of attempts or leftover state for a request whose head is read before a
+// reload, and whose body arrives after it.
 func TestReloadBetweenReadAndDispatch(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		replaced []string
-		status   int
-		sends    int
+		name         string
+		replacements []string
+		status       int
+		attempts     int
 	}{
-		{"class gone", removingCheckin, 503, 0},
+		{"class removed", removingCheckin, 503, 0},
 		{"unchanged", nil, 502, 1},
-		{"may run twice now, but has no key", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent"`,
+		{"repeatable now, but without a key", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent"`,
 			`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"idempotency_key","group":"all","memory_span_us":9000000`}, 502, 1},
-		{"shorter", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000`,
+		{"shorter deadline", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 			`"name":"checkin","target_us":1000,"give_up_us":1000`}, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, func(net.Conn, *http.Request) bool { return false }) // it breaks off
+			s := newServer(t, func(net.Conn, *http.Request) bool { return false }) // closes without a response
 			r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s), up("s-00000002", s))
 			raw := r.connect(t)
 			io.WriteString(raw, checkin("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
-			want(t, "asked to go on", raw.answer(t).StatusCode, 100)
-			r.reloadWith(t, append([]string{`"az":"z1"`, `"az":"z2"`}, c.replaced...)...)
+			want(t, "status before the body", raw.answer(t).StatusCode, 100)
+			r.reloadWith(t, append([]string{`"az":"z1"`, `"az":"z2"`}, c.replacements...)...)
 			io.WriteString(raw, "body")
 			want(t, "status", raw.answer(t).StatusCode, c.status)
-			want(t, "attempts", len(s.arrivals), c.sends)
-			r.loopSays(func(l *loop) bool { want(t, "kept", len(l.requests)+len(l.openIDs), 0); return true })
+			want(t, "attempts", len(s.arrivals), c.attempts)
+			r.loopSays(func(l *loop) bool { want(t, "requests left", len(l.requests)+len(l.openIDs), 0); return true })
 		})
 	}
 }
 
-// A file that can't be read or is not valid changes nothing, and the log names it and what is wrong.
+// Guards against an invalid or unreadable file changing anything, and against a log line that does not name the file and the
+// error.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	s := newServer(t, okAll)
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
@@ -355,14 +357,14 @@
 	valid := configTextWith(t, r.config.Discovery, nil, addingClass("parcel")...)
 	replaced := func(old, new string) string {
 		if !strings.Contains(valid, old) {
-			t.Fatalf("no %s", old)
+			t.Fatalf("%s is not in the configuration", old)
 		}
 		return strings.Replace(valid, old, new, 1)
 	}
 	withTenants := func(list string) string { return replaced(`"reporting"`, `"tenants":`+list+`,"reporting"`) }
 	for i, c := range []struct {
-		text  string
-		names []string
+		text   string
+		logged []string
 	}{
 		{"", []string{"EOF"}},
 		{"{", []string{"EOF"}},
@@ -387,7 +389,7 @@
 		{withTenants(`{"t1":1}`), []string{"tenants", "invalid character"}},
 	} {
 		configPath := r.configPath
-		if i%2 == 0 { // each by another name, so that a line can't be an older one's
+		if i%2 == 0 { // other names, so that an earlier log line does not match
 			configPath = filepath.Join(filepath.Dir(configPath), fmt.Sprint("config-", i, ".json"))
 		}
 		old := r.configPath
@@ -395,33 +397,33 @@
 		r.writeConfigText(t, c.text)
 		lines := r.log.count("the old one stays")
 		r.hangups <- syscall.SIGHUP
-		r.until(t, "a line", func() bool { return r.log.count("the old one stays") > lines })
-		r.log.waitForLine(t, append([]string{"the old one stays", filepath.Base(configPath)}, c.names...)...)
+		r.until(t, "the error is logged", func() bool { return r.log.count("the old one stays") > lines })
+		r.log.waitForLine(t, append([]string{"the old one stays", filepath.Base(configPath)}, c.logged...)...)
 		r.configPath = old
 	}
 	os.Remove(r.configPath)
 	r.hangups <- syscall.SIGHUP
 	r.log.waitForLine(t, "the old one stays", r.configPath, "no such file")
-	want(t, "the plan in force", currentPlan(), planBefore)
+	want(t, "plan in force", currentPlan(), planBefore)
 	want(t, "configurations in force", len(r.appliedHashes), 0)
 	status, _ := r.do(t, r.ask("parcel", ""))
-	want(t, "still served", status, 200)
+	want(t, "status of a class in force", status, 200)
 	r.reloadWith(t, addingClass("letter")...)
 	status, _ = r.do(t, r.ask("letter", ""))
-	want(t, "after a good one", status, 200)
+	want(t, "status of a class added by a valid file", status, 200)
 }
 
-// What can't change in a running process keeps its value, and the log names it. The rest of the file is in force.
+// Guards against applying settings that need a restart, or ignoring them without a warning. The rest of the file applies.
 func TestReloadLogsSettingsThatNeedRestart(t *testing.T) {
 	s := newServer(t, okAll)
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
 	r.reloadWith(t)
-	want(t, "nothing differs", r.log.count("next start"), 0)
+	want(t, "warnings when nothing differs", r.log.count("next start"), 0)
 	text := configTextWith(t, r.config.Discovery, nil, addingClass("parcel")...)
 	for _, x := range [][2]string{{`"name":"n0"`, `"name":"n9"`}, {`"listen":"127.0.0.1:0"`, `"listen":"127.0.0.1:1"`},
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"1"`}, {`"memory_mb":192`, `"memory_mb":64`}, {`"sockets":1024`, `"sockets":512`}} {
 		if !strings.Contains(text, x[0]) {
-			t.Fatalf("no %s", x[0])
+			t.Fatalf("%s is not in the configuration", x[0])
 		}
 		text = strings.Replace(text, x[0], x[1], 1)
 	}
@@ -431,18 +433,18 @@
 		"setting=limits.memory_mb in_force=192 in_file=64", "setting=limits.sockets in_force=1024 in_file=512"} {
 		r.log.waitForLine(t, x)
 	}
-	want(t, "lines", r.log.count("next start"), 6)
-	r.loopSays(func(l *loop) bool { want(t, "connections", l.maxConns, 1024/3); return true })
+	want(t, "warnings", r.log.count("next start"), 6)
+	r.loopSays(func(l *loop) bool { want(t, "limit of upstream connections", l.maxConns, 1024/3); return true })
 	status, _ := r.do(t, r.ask("parcel", ""))
-	want(t, "the rest is in force", status, 200)
+	want(t, "status of the added class", status, 200)
 }
 
-// Reloads come faster than they can be taken. While one is being built its file is replaced, and signals come, again and again:
-// what goes in force next is the newest file, whole, and nothing older after it.
+// Guards against applying part of a file, an outdated file after a newer one, or not the newest, when files and signals arrive
+// faster than reloads are applied.
 func TestReloadBurstAppliesNewestFile(t *testing.T) {
 	s := newServer(t, okAll)
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
-	replacementsFor := func(i int) []string { // enough for many slices; classes and tenants tell which file they are of
+	replacementsFor := func(i int) []string { // enough for many slices; class names and quotas identify the file
 		var list strings.Builder
 		for k := range 5000 {
 			fmt.Fprintf(&list, `{"name":"t%d","quota_rps":%d},`, k, i)
@@ -456,24 +458,24 @@
 	r.pauseHook.Store(&pauseHook)
 	hashes[r.writeConfig(t, replacementsFor(1)...)] = 1
 	r.hangups <- syscall.SIGHUP
-	<-paused // a part of it has been built
+	<-paused // part of it has been built
 	for i := 2; i <= 6; i++ {
 		hashes[r.writeConfig(t, replacementsFor(i)...)] = i
 		select {
 		case r.hangups <- syscall.SIGHUP:
-		default: // as the system's signals do: one is waiting
+		default: // one is pending already, as with signal.Notify
 		}
 	}
 	r.pauseHook.Store(nil)
 	close(resume)
-	want(t, "first in force", hashes[r.nextAppliedHash(t)], 1)
-	want(t, "then the newest", hashes[r.nextAppliedHash(t)], 6)
+	want(t, "first file in force", hashes[r.nextAppliedHash(t)], 1)
+	want(t, "next file in force", hashes[r.nextAppliedHash(t)], 6)
 	r.log.waitForLine(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
 	for i, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
 		got, _ := r.do(t, r.ask(i, "", "X-Tenant", "last"))
 		want(t, i, got, status)
 	}
-	// A flood of signals, with a new file for each, as fast as they can be written.
+	// Many files and signals in quick succession.
 	last := ""
 	for i := 7; i < 40; i++ {
 		last = r.writeConfig(t, replacementsFor(i)...)
@@ -485,19 +487,19 @@
 	}
 	for newest := 6; ; {
 		hash := r.nextAppliedHash(t)
-		if hashes[hash] < newest { // the same again: its signal came once the file had been read already
-			t.Errorf("%d is in force after %d", hashes[hash], newest)
+		if hashes[hash] < newest { // equal: the signal arrived after its file had been read
+			t.Errorf("file %d is in force after file %d", hashes[hash], newest)
 		}
 		if newest = hashes[hash]; hash == last {
 			break
 		}
 	}
 	status, _ := r.do(t, r.ask("class39", "", "X-Tenant", "last"))
-	want(t, "the last class", status, 200)
+	want(t, "status of the newest class", status, 200)
 }
 
-// While the loop takes nothing, signals and files go on: the reload that was built waits, none is lost, and behind it the
-// newest file is read.
+// Guards against losing a reload, or not reading the newest file after it, when files and signals arrive while the loop is
+// blocked.
 func TestReloadsWhileLoopIsBlocked(t *testing.T) {
 	s := newServer(t, okAll)
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", s))
@@ -506,7 +508,7 @@
 	<-blocked
 	first := r.writeConfig(t, addingClass("a")...)
 	r.hangups <- syscall.SIGHUP
-	r.until(t, "the signal is taken", func() bool { return len(r.hangups) == 0 })
+	r.until(t, "signal received", func() bool { return len(r.hangups) == 0 })
 	var last string
 	for i := range 100 {
 		last = r.writeConfig(t, addingClass(fmt.Sprint("b", i))...)
@@ -515,20 +517,20 @@
 		default:
 		}
 	}
-	want(t, "in force while the loop is held up", len(r.appliedHashes), 0)
+	want(t, "configurations applied while the loop is blocked", len(r.appliedHashes), 0)
 	close(release)
 	hash := r.nextAppliedHash(t)
 	for hash != last {
 		hash = r.nextAppliedHash(t)
 	}
 	status, _ := r.do(t, r.ask("b99", ""))
-	want(t, "the newest", status, 200)
+	want(t, "status of the newest class", status, 200)
 	status, _ = r.do(t, r.ask("a", ""))
-	want(t, "the first, "+first, status, 400)
+	want(t, "status of the class of the first file, "+first, status, 400)
 }
 
-// SIGTERM and SIGHUP cross, in both orders: what was taken is answered, and what comes until the listener is closed goes by
-// the settings that are in force.
+// Guards against unanswered requests, or requests read with outdated settings, when SIGTERM and SIGHUP arrive together, in
+// both orders.
 func TestReloadedClassesDuringShutdown(t *testing.T) {
 	for _, stopFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) {
@@ -543,18 +545,18 @@
 			inFlight := r.connect(t)
 			inFlight.send(t, r.ask("checkin", ""))
 			<-s.arrivals
-			late := r.connect(t) // its request has begun when the stop comes, so it is waited for
+			late := r.connect(t) // the shutdown waits for its request, which has begun
 			io.WriteString(late, "POST /parcel")
 			if stopFirst {
 				r.cancel()
-				r.until(t, "the stop has begun", func() bool { return r.health(t) != 200 })
+				r.until(t, "shutdown has begun", func() bool { return r.health(t) != 200 })
 			}
 			r.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...)
 			r.cancel()
 			io.WriteString(late, "/x HTTP/1.1\r\nHost: x\r\nX-Class: parcel\r\nX-Request-Id: late\r\nContent-Length: 0\r\n\r\n")
-			want(t, "of the new class", late.answer(t).StatusCode, 200)
+			want(t, "status of the added class", late.answer(t).StatusCode, 200)
 			close(release)
-			want(t, "the request in hand", inFlight.answer(t).StatusCode, 200)
+			want(t, "status of the request in flight", inFlight.answer(t).StatusCode, 200)
 			if err := <-r.ended; err != nil {
 				t.Error(err)
 			}
@@ -563,28 +565,28 @@
 	}
 }
 
-// Settings and discovery change in one file: both are in force, and a late answer of the old discovery is none.
+// Guards against a file that changes both the settings and the address of discovery being applied in part.
 func TestReloadChangesSettingsAndDiscovery(t *testing.T) {
 	one, two := newServer(t, okAll), newServer(t, okAll)
 	r := newReloadableBalancer(t, func(*Config) {}, up("s-00000001", one))
 	<-r.registry.calls
 	next := newRegistry(t)
 	r.signalAndWait(t, r.writeConfigText(t, configTextWith(t, next.addr, nil, addingClass("parcel")...)))
-	want(t, "call at the new discovery", <-next.calls, "")
+	want(t, "query of the first call to the new discovery", <-next.calls, "")
 	next.answers <- discoveryList{Revision: 3, Complete: true, Members: []member{up("s-00000002", two)}}
-	want(t, "its next call", since(<-next.calls), "since=3")
+	want(t, "query of the next call", since(<-next.calls), "since=3")
 	status, _ := r.do(t, r.ask("parcel", ""))
-	want(t, "of the new class", status, 200)
-	want(t, "requests at the old list's server", len(one.arrivals), 0)
-	want(t, "requests at the new one's", len(two.arrivals), 1)
-	// An invalid file moves nothing.
+	want(t, "status of the added class", status, 200)
+	want(t, "requests to the upstream of the old list", len(one.arrivals), 0)
+	want(t, "requests to the upstream of the new list", len(two.arrivals), 1)
+	// An invalid file does not change the address.
 	r.writeConfigText(t, strings.Replace(configTextWith(t, r.config.Discovery, nil, addingClass("letter")...), `"balancers":1`, `"balancers":0`, 1))
 	r.hangups <- syscall.SIGHUP
 	r.log.waitForLine(t, "the old one stays")
-	r.loopSays(func(l *loop) bool { want(t, "discovery", l.discoveryClient.address, next.addr); return true })
+	r.loopSays(func(l *loop) bool { want(t, "address of discovery", l.discoveryClient.address, next.addr); return true })
 }
 
-// A list and a reload come in the same moment, in both orders: both hold for the first request after them.
+// Guards against the first request after a list and a reload that arrive together, in both orders, using only one of them.
 func TestSimultaneousListAndReload(t *testing.T) {
 	for _, listFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("list first ", listFirst), func(t *testing.T) {
@@ -593,32 +595,32 @@
 			<-r.registry.calls
 			blocked, release := make(chan struct{}), make(chan struct{})
 			go r.loopSays(func(*loop) bool { close(blocked); <-release; return true })
-			<-blocked // the loop stands still, and both come up
+			<-blocked // both wait for the loop
 			answerWithList := func() {
 				r.registry.answers <- discoveryList{Revision: 12, Complete: true, Members: []member{up("s-00000002", two)}}
-				r.until(t, "the list waits", func() bool { return len(r.loop.listUpdates) == 1 })
+				r.until(t, "list queued", func() bool { return len(r.loop.listUpdates) == 1 })
 			}
 			if listFirst {
 				answerWithList()
 			}
 			hash := r.writeConfig(t, addingClass("parcel")...)
 			r.hangups <- syscall.SIGHUP
-			r.until(t, "the reload waits", func() bool { return len(r.loop.events) == 1 })
+			r.until(t, "reload queued", func() bool { return len(r.loop.events) == 1 })
 			if !listFirst {
 				answerWithList()
 			}
 			close(release)
-			want(t, "in force", r.nextAppliedHash(t), hash)
+			want(t, "hash in force", r.nextAppliedHash(t), hash)
 			status, _ := r.do(t, r.ask("parcel", ""))
-			want(t, "of the new class", status, 200)
-			want(t, "requests at the server that left", len(one.arrivals), 0)
-			want(t, "requests at the one that came", len(two.arrivals), 1)
+			want(t, "status of the added class", status, 200)
+			want(t, "requests to the removed upstream", len(one.arrivals), 0)
+			want(t, "requests to the added upstream", len(two.arrivals), 1)
 		})
 	}
 }
 
-// Two processes of one balancer each take their own SIGHUP, the older one last and while it ends: no request of the class that
-// came is lost once both have it, and what the older one has in hand is answered.
+// Guards against lost requests of an added class, and unanswered requests in flight, when both processes of a handover
+// reload, the older one while it shuts down.
 func TestReloadDuringHandover(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -653,27 +655,27 @@
 	newer.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...) // before it is ready
 	newer.registry.answers <- discoveryList{Revision: 11, Complete: true, Members: members}
 	newer.until(t, "ready", func() bool { return newer.call(t, "GET", "/control/ready") == 200 })
-	older.cancel() // the older one takes no more connections, and still takes its reload
+	older.cancel() // it accepts no more connections, but still reloads
 	older.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...)
 	for range 20 {
 		c := newer.connect(t)
 		c.send(t, newer.ask("parcel", ""))
-		want(t, "on a new connection", c.answer(t).StatusCode, 200)
+		want(t, "status on a new connection", c.answer(t).StatusCode, 200)
 	}
 	close(release)
-	want(t, "taken by the older one", inFlight.answer(t).StatusCode, 200)
+	want(t, "status of the older process's request in flight", inFlight.answer(t).StatusCode, 200)
 	if err := <-older.ended; err != nil {
 		t.Error(err)
 	}
 	older.ended <- nil
 }
 
-// A thousand reloads, each with other classes and tenants that are used in between: what is held returns to its size.
+// Guards against memory that is kept for the classes and tenants of earlier configurations.
 func TestMemoryAfterManyReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(i int) {
 		var profiles, tenants strings.Builder
-		for k := range 150 { // names of one length; as many as are not at a step in the growth of a map
+		for k := range 150 { // names of equal length; not close to a number at which a map grows
 			fmt.Fprintf(&profiles, `{"name":"c%04d-%03d","target_us":250000,"give_up_us":750000,"repeat":"read_like","worth":1},`, i, k)
 		}
 		for k := range 600 {
@@ -713,36 +715,35 @@
 			t.Fatal(err)
 		}
 		configReloaded{x, nil}.apply(l)
-		for k := range 50 { // there is no server: each is refused, and both its class and its tenant have been met
+		for k := range 50 { // without upstreams each is refused, after its class and its tenant have been used
 			q := &request{clientRequestID: "1", at: l.now(), responseCh: make(chan clientResponse, 1)}
 			q.Class, q.Tenant, q.Budget = fmt.Sprintf("c%04d-%03d", i, k), fmt.Sprintf("t%04d-%03d", i, 10*k), time.Millisecond
 			requestReceived{q}.apply(l)
 			l.reportPending()
 			if len(q.responseCh) != 1 {
-				t.Fatalf("reload %d: a request of the class that came is not answered", i)
+				t.Fatalf("reload %d: a request of an added class was not answered", i)
 			}
 		}
-		for len(l.logLines) > 0 { // nobody else takes them
+		for len(l.logLines) > 0 { // writeLogs is not running
 			<-l.logLines
 		}
-		l.clockBase += 2 * time.Second // all alarms are due, and the module's tick forgets what is gone
+		l.clockBase += 2 * time.Second // all timers expire, and the Balancer's periodic one drops removed classes
 		l.fireTimers()
-		if i == 10 || i == 60 || i == 110 { // what tests before this one have left may still go
+		if i == 10 || i == 60 || i == 110 { // the least: memory left by earlier tests may still be freed
 			early = min(early, liveBytes())
 		}
-		if i == 900 || i == 950 || i == 1000 { // what grows has grown at each of these
+		if i == 900 || i == 950 || i == 1000 { // the least: a leak shows in each of them
 			late = min(late, liveBytes())
 		}
 	}
-	t.Logf("live: %d KB after 10 to 110 reloads, %d KB after 900 to 1,000", early>>10, late>>10)
+	t.Logf("live heap: %d KB after 10 to 110 reloads, %d KB after 900 to 1,000", early>>10, late>>10)
 	if late > early+early/20 {
-		t.Errorf("%d bytes are live after 1,000 reloads, %d after 10", late, early)
+		t.Errorf("got %d bytes of live heap after 900 to 1,000 reloads, want about the %d after 10 to 110", late, early)
 	}
 	runtime.KeepAlive(r)
 }
 
-// The work of reading a configuration again is cut into parts of a bounded size, whatever the file holds: between two of them
-// the loop can run.
+// Guards against decoding much of a configuration without a pause, whatever the file contains: the loop runs in the pauses.
 func TestConfigDecodingIsSliced(t *testing.T) {
 	text := largeConfigText(t, 400, 2000, 1)
 	text = strings.Replace(text, `"settings":{`, `"later":[`+strings.Repeat(`{"a":[1,2,{"b":"c"}]},`, 2000)+`0],"settings":{`, 1)
@@ -763,11 +764,11 @@
 		t.Fatal(err)
 	}
 	if steps < 2400+4000 || maxBytes > 4096 {
-		t.Errorf("%d steps; up to %d bytes between two of them", steps, maxBytes)
+		t.Errorf("got %d steps with up to %d bytes between two, want 6400 or more, with up to 4096", steps, maxBytes)
 	}
 }
 
-// counted counts what is read of r.
+// countingReader counts the bytes read from r.
 type countingReader struct {
 	r io.Reader
 	n int
@@ -779,25 +780,25 @@
 	return n, err
 }
 
-// A slice of work is followed by a pause of about its length, at the latest after some small steps; without pauses, as at the
-// start, there are none.
+// Guards against slices of work that are not followed by a pause of about the same length, and against a nil workSlicer that
+// pauses.
 func TestWorkSlicerPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var pauses []time.Duration
 		s := &workSlicer{sliceStart: time.Now(), pause: func(d time.Duration) { pauses = append(pauses, d) }}
 		for range 100 * stepsPerTimeCheck {
-			time.Sleep(reloadSlice / 50) // that much work
+			time.Sleep(reloadSlice / 50) // simulates work
 			s.step()
 		}
 		total := time.Duration(0)
 		for _, d := range pauses {
 			if d < reloadSlice || d > 2*reloadSlice {
-				t.Errorf("a pause of %v after a slice of %v", d, reloadSlice)
+				t.Errorf("got a pause of %v, want one to two slices of %v", d, reloadSlice)
 			}
 			total += d
 		}
 		if work := 100 * stepsPerTimeCheck * reloadSlice / 50; total < work*9/10 {
-			t.Errorf("%v of pauses in %v of work", total, work)
+			t.Errorf("got pauses of %v for work of %v, want nine tenths of it or more", total, work)
 		}
 	})
 	var nilSlicer *workSlicer
@@ -805,7 +806,7 @@
 	nilSlicer.checkTime()
 }
 
-// large is a configuration of many classes and tenants, of which the first tenant has a quota.
+// largeConfigText returns the text of a configuration with many classes and tenants. quota is that of the first tenant.
 func largeConfigText(t testing.TB, classes, tenants int, quota float64) string {
 	t.Helper()
 	var b strings.Builder
@@ -822,9 +823,11 @@
 	return configTextWith(t, "127.0.0.1:8500", nil, `"profiles":[`, b.String()+`],"profiles":[`+profiles)
 }
 
-// echoOf names, to a process that a benchmark starts, the address at which it asks for echoes; ownerOf the process there.
+// The environment of the process that BenchmarkReload starts: the address that answers echo requests, and the ID of the
+// process that listens there.
 const echoAddressEnv, echoProcessEnv = "RELOAD_ECHO_OF", "RELOAD_ECHO_OWNER"
 
+// TestMain runs measureEchoes instead of the tests in the process that BenchmarkReload starts.
 func TestMain(m *testing.M) {
 	if address := os.Getenv(echoAddressEnv); address != "" {
 		if err := measureEchoes(address, os.Getenv(echoProcessEnv)); err != nil {
@@ -836,11 +839,11 @@
 	os.Exit(m.Run())
 }
 
-// echoes are the times until an echo came, and what its process had worked by then since it was asked for, in ns, by the
-// echo's first byte. The other eight are the processor time at which it was written.
+// echoTimings holds, in nanoseconds and by the first byte of the echo, the time until an echo arrived and the CPU time that
+// the answering process had used by then. The other eight bytes of an echo are that process's CPU time when it was written.
 type echoTimings map[string]struct{ Late, Work []time.Duration }
 
-// processorTime is what a process has worked so far; 0 is this one.
+// cpuTime returns the CPU time that a process has used; pid 0 is this process.
 func cpuTime(pid int) (time.Duration, error) {
 	clock := 2 // CLOCK_PROCESS_CPUTIME_ID
 	if pid != 0 {
@@ -853,7 +856,7 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// askForEchoes asks every 0.3 ms, until the connection is closed, and writes the echoes to standard output.
+// measureEchoes requests echoes, 0.3 ms apart, until the connection is closed, and writes their timings to standard output.
 func measureEchoes(address, process string) error {
 	pid, err := strconv.Atoi(process)
 	if err != nil {
@@ -884,9 +887,9 @@
 	return json.NewEncoder(os.Stdout).Encode(timings)
 }
 
-// BenchmarkReload tells, at the size of the fleet to come and with one processor as in service, how long a reload takes from
-// its signal and how much processor time, and for how long it holds up an echo that a client gets from the loop: by the
-// clock, which a busy machine moves, and by the process's own work until the echo, which is what can hold it up.
+// BenchmarkReload measures, with large configurations and one processor, the time and the CPU time of a reload from its
+// signal, and how long it delays an echo from the loop to a client: in elapsed time, which depends on the load of the
+// machine, and in CPU time that the process uses until the echo.
 func BenchmarkReload(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
--- a/internal/proxy/watcher_test.go
+++ b/internal/proxy/watcher_test.go
@@ -7,33 +7,31 @@
 	"testing"
 )
 
-// An upload over the bound in chunks ends its attempt, and the module refuses the request then. The client is owed the answer
-// that says what is wrong, 413. On busy machines callers saw 503, which says that another try is harmless: the refusal can
-// be there before the reader of the body has told its error, and of both the front took one at random.
-// TestBodyOverTheBoundInChunks failed so in a run of CI on four cores, 1.58 s after its start (503, want 413).
+// Guards against answering a request whose body is too large with the refusal that follows (503), which says that a retry is
+// safe, instead of 413: the refusal may arrive before the error of the body's reader.
 func TestBodyErrorPrecedesRefusal(t *testing.T) {
 	for name, c := range map[string]struct {
-		told   bool // the reader's error is there too
-		status int
-		fault  error
+		readFailed bool // the reader's error is available too
+		status     int
+		wantErr    error
 	}{
-		"refused first":       {false, http.StatusServiceUnavailable, errRequestTooLarge},
-		"both":                {true, http.StatusServiceUnavailable, errRequestTooLarge},
-		"failed first":        {false, http.StatusBadGateway, errRequestTooLarge},
-		"served all the same": {false, http.StatusOK, nil},
+		"refused first": {false, http.StatusServiceUnavailable, errRequestTooLarge},
+		"both":          {true, http.StatusServiceUnavailable, errRequestTooLarge},
+		"failed first":  {false, http.StatusBadGateway, errRequestTooLarge},
+		"succeeded":     {false, http.StatusOK, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for range 20 { // a select takes one of two at random
+			for range 20 { // a select with two ready cases picks one at random
 				rest := &upload{}
 				rest.reader, rest.writer = io.Pipe()
 				w := &clientWatcher{req: &request{responseCh: make(chan clientResponse, 1), message: message{rest: rest}}, readDone: make(chan error, 1)}
 				rest.fail(errRequestTooLarge)
 				w.req.responseCh <- clientResponse{status: c.status}
-				if c.told {
+				if c.readFailed {
 					w.readDone <- errRequestTooLarge
 				}
-				if a, err := w.awaitResponse(); !errors.Is(err, c.fault) || (err == nil && a.status != c.status) {
-					t.Fatalf("status %d, error %v", a.status, err)
+				if a, err := w.awaitResponse(); !errors.Is(err, c.wantErr) || (err == nil && a.status != c.status) {
+					t.Fatalf("got status %d and error %v", a.status, err)
 				}
 			}
 		})
