--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// inherit returns a descriptor of its own for a socket, as a process inherits one.
-func inherit(t *testing.T, from interface{ File() (*os.File, error) }) int {
+// duplicateDescriptor returns a duplicate of a socket's descriptor, as a process inherits it.
+func duplicateDescriptor(t *testing.T, from interface{ File() (*os.File, error) }) int {
 	t.Helper()
 	f, err := from.File()
 	if err != nil {
@@ -29,6 +29,8 @@
 	return fd
 }
 
+// Guards against accepting an inherited descriptor that is not a listening TCP socket, and against closing the socket of
+// other processes with this one's listener.
 func TestInheritedDescriptorMustListen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,25 +56,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, fd := range map[string]int{"a connection": inherit(t, c.(*net.TCPConn)), "a file": plain,
-		"a packet socket": inherit(t, packets.(*net.UDPConn)), "nothing": 1 << 20} {
+	for what, fd := range map[string]int{"connection": duplicateDescriptor(t, c.(*net.TCPConn)), "file": plain,
+		"packet socket": duplicateDescriptor(t, packets.(*net.UDPConn)), "closed descriptor": 1 << 20} {
 		if l, err := Listen(&Config{InheritedFD: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
-			t.Errorf("%s: got %v, %v", what, l, err)
+			t.Errorf("%s: got listener %v and error %v, want an error naming RELAY_INHERITED_FD", what, l, err)
 		}
 	}
 	for _, fd := range []string{"x", "-1", "2", "4 "} {
 		if _, err := loadTestConfig(t, configText, map[string]string{"RELAY_INHERITED_FD": fd}); err == nil {
-			t.Errorf("RELAY_INHERITED_FD=%q is taken", fd)
+			t.Errorf("RELAY_INHERITED_FD=%q: got no error", fd)
 		}
 	}
-	heir, err := Listen(&Config{InheritedFD: inherit(t, l.(*net.TCPListener))})
+	inherited, err := Listen(&Config{InheritedFD: duplicateDescriptor(t, l.(*net.TCPListener))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	heir.Close()
+	inherited.Close()
 	again, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		t.Fatalf("the socket ended with one of its listeners: %v", err)
+		t.Fatalf("connecting after one of two listeners was closed: %v", err)
 	}
 	again.Close()
 }
@@ -87,69 +89,70 @@
 	return b
 }
 
-// Whatever stands in the file, a start goes on, and the next order is kept whole.
-func TestSpoiltOrdersHoldUpNoStart(t *testing.T) {
-	for what, text := range map[string]string{"empty": "", "cut short": `{"out_of_service":true,"offl`, "no JSON": "\x00\xff",
-		"another form": `{"offline":{"s-1":true}}`, "endless": strings.Repeat("[", maxOrdersBytes+10)} {
+// Guards against a state file with invalid content preventing the start or the storing of later orders.
+func TestInvalidStateFileDoesNotPreventStart(t *testing.T) {
+	for what, text := range map[string]string{"empty": "", "truncated": `{"out_of_service":true,"offl`, "not JSON": "\x00\xff",
+		"wrong type": `{"offline":{"s-1":true}}`, "too long": strings.Repeat("[", maxOrdersBytes+10)} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "olivearch-n%2F0.json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		b := openTestStateFile(t, dir)
-		want(t, what+": drained", b.current.Load().OutOfService, false)
-		want(t, what+": left out", len(b.current.Load().Offline), 0)
+		want(t, what+": out of service", b.current.Load().OutOfService, false)
+		want(t, what+": upstreams offline", len(b.current.Load().Offline), 0)
 		if err := b.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 		if o, _, err := b.read(); err != nil || len(o.Offline) != 1 || o.OutOfService {
-			t.Errorf("%s: then reads as %v, %v", what, o, err)
+			t.Errorf("%s: after an update, got orders %v and error %v", what, o, err)
 		}
 	}
 }
 
-// Two processes of one balancer know of each other, and what one is told the other hears of; calls at both add up.
-func TestOrdersOfTwoProcesses(t *testing.T) {
+// Guards against overlapping processes of one balancer that do not detect each other, miss orders stored by the other one
+// or overwrite them.
+func TestProcessesShareOrders(t *testing.T) {
 	dir := t.TempDir()
 	a := openTestStateFile(t, dir)
-	want(t, "alone at first", a.alone(), true)
+	want(t, "first process alone", a.alone(), true)
 	b := openTestStateFile(t, dir)
-	want(t, "alone, the older", a.alone(), false)
-	want(t, "alone, the newer", b.alone(), false)
+	want(t, "older process alone beside a newer one", a.alone(), false)
+	want(t, "newer process alone beside an older one", b.alone(), false)
 	for _, x := range []struct {
-		told *stateFile
-		id   string
+		state *stateFile
+		id    string
 	}{{a, "s-1"}, {b, "s-2"}} {
-		if err := x.told.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
+		if err := x.state.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want(t, "heard", a.refresh(), true)
-	want(t, "both", strings.Join(a.current.Load().Offline, " "), "s-1 s-2")
-	want(t, "heard twice", a.refresh(), false)
+	want(t, "new orders", a.refresh(), true)
+	want(t, "offline", strings.Join(a.current.Load().Offline, " "), "s-1 s-2")
+	want(t, "new orders on a second refresh", a.refresh(), false)
 	if err := os.WriteFile(b.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "a spoilt change is news", a.refresh(), false)
-	want(t, "held over it", len(a.current.Load().Offline), 2)
+	want(t, "new orders in an invalid file", a.refresh(), false)
+	want(t, "offline after an invalid file", len(a.current.Load().Offline), 2)
 	b.close()
-	want(t, "alone after its end", a.alone(), true)
+	want(t, "alone after the other process has ended", a.alone(), true)
 	lock, err := tryLock(a.path + ".lock")
 	if err != nil || lock == nil {
-		t.Fatalf("the lock is kept: %v", err)
+		t.Fatalf("the lock is not free after the updates: %v", err)
 	}
 	defer lock.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if err := a.update(ctx, func(*operatorOrders) {}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("with the lock held: %v", err)
+		t.Errorf("update with the lock held: got %v, want a time-out", err)
 	}
 }
 
-// Two calls cross: the one that was noted first has its turn in the loop last. It does not undo the other one.
-func TestOrdersThatCross(t *testing.T) {
+// Guards against an order undoing a later one that the loop applies before it.
+func TestConcurrentOrdersBothApply(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
-	h := newHand(t)
-	h.list(20, upMember("s-00000001", s), upMember("s-00000002", s))
+	h := newLoopHarness(t)
+	h.setMembers(20, upMember("s-00000001", s), upMember("s-00000002", s))
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -160,40 +163,40 @@
 	}
 	defer listener.Close()
 	d := newAdminServer(h.loop, newFrontend(&c, listener, h.loop), openTestStateFile(t, t.TempDir()))
-	said := make(chan error, 2)
-	order := func(id string) adminLoopCall {
+	results := make(chan error, 2)
+	queueOrder := func(id string) adminLoopCall {
 		go func() {
-			said <- d.updateOrders(t.Context(), func(o *operatorOrders) {
+			results <- d.updateOrders(t.Context(), func(o *operatorOrders) {
 				o.Offline, o.OutOfService = append(o.Offline, id), id == "s-00000002"
 			})
 		}()
 		return <-h.adminCalls
 	}
-	first := order("s-00000001")
-	second := order("s-00000002")
+	first := queueOrder("s-00000001")
+	second := queueOrder("s-00000002")
 	second.apply(h.loop)
 	first.apply(h.loop)
 	for range 2 {
-		want(t, "a call's answer", <-said, nil)
+		want(t, "error of a call", <-results, nil)
 	}
-	want(t, "left out", len(h.inMaintenance), 2)
-	want(t, "drained", d.front.closeAfterResponse(), true)
+	want(t, "upstreams in maintenance", len(h.inMaintenance), 2)
+	want(t, "draining", d.front.closeAfterResponse(), true)
 }
 
-// succeed starts another process of b, on the same socket and beside it. Its discovery has told nothing yet.
-func (b *testBalancer) succeed(t *testing.T, l net.Listener, members ...member) *testBalancer {
+// startSuccessor starts another process of b that shares its listening socket. Its discovery has not answered yet.
+func (b *testBalancer) startSuccessor(t *testing.T, l net.Listener, members ...member) *testBalancer {
 	t.Helper()
 	admin := freeAddress(t)
-	heir := startBalancerWith(t, func(c *Config) {
-		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, inherit(t, l.(*net.TCPListener))
+	successor := startBalancerWith(t, func(c *Config) {
+		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, duplicateDescriptor(t, l.(*net.TCPListener))
 	}, members...)
-	heir.url = "http://" + l.Addr().String()
-	return heir
+	successor.url = "http://" + l.Addr().String()
+	return successor
 }
 
-// One process takes over from another under load: no request meets a refused or reset connection, what was taken is
-// answered, and what operators called for holds in both, whichever was told.
-func TestReplacementLosesNothing(t *testing.T) {
+// Guards against refused or reset connections, unanswered requests and orders that apply to only one of the two processes
+// during a handover under load.
+func TestHandoverLosesNoRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -211,66 +214,66 @@
 		for range s.received {
 		}
 	}()
-	worked := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool { return writeOK(c, "never") })
-	members := []member{upMember("s-00000001", s), upMember("s-00000002", worked)}
+	offline := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool { return writeOK(c, "never") })
+	members := []member{upMember("s-00000001", s), upMember("s-00000002", offline)}
 	first := &testBalancer{config: Config{StateDir: t.TempDir()}}
-	old := first.succeed(t, l, members...)
+	old := first.startSuccessor(t, l, members...)
 	old.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
 	old.waitUntil(t, "ready", func() bool { return old.adminCall(t, "GET", "/control/ready") == 200 })
-	want(t, "out", old.adminCall(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
+	want(t, "status of offline", old.adminCall(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
 
-	taken := old.dialClient(t)
-	taken.send(t, old.newRequest("checkin", "", "X-Hold", "1"))
-	old.waitUntil(t, "the request is with the server", held.Load)
-	heir := old.succeed(t, l, members...)
-	heir.waitUntil(t, "an admin listener that says no without a list", func() bool { return heir.adminCall(t, "GET", "/control/ready") == 503 })
-	want(t, "it asks for the whole list, which is told at once", <-heir.discovery.calls, "")
-	heir.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
-	heir.waitUntil(t, "the new one is ready", func() bool { return heir.adminCall(t, "GET", "/control/ready") == 200 })
-	// Told to the new one while both take connections: it holds in both from the yes on.
-	want(t, "drain", heir.adminCall(t, "PUT", "/control/out-of-service"), 200)
+	inFlight := old.dialClient(t)
+	inFlight.send(t, old.newRequest("checkin", "", "X-Hold", "1"))
+	old.waitUntil(t, "request received by the upstream", held.Load)
+	successor := old.startSuccessor(t, l, members...)
+	successor.waitUntil(t, "not ready without a list", func() bool { return successor.adminCall(t, "GET", "/control/ready") == 503 })
+	want(t, "query of its first call, for the whole list", <-successor.discovery.calls, "")
+	successor.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	successor.waitUntil(t, "new process ready", func() bool { return successor.adminCall(t, "GET", "/control/ready") == 200 })
+	// While both accept connections, an order to the new one applies to both once the call has succeeded.
+	want(t, "status of out-of-service", successor.adminCall(t, "PUT", "/control/out-of-service"), 200)
 	for range 20 {
-		want(t, "health in the drain", old.healthStatus(t), 503)
+		want(t, "health during the drain", old.healthStatus(t), 503)
 	}
-	want(t, "back", heir.adminCall(t, "PUT", "/control/in-service"), 200)
+	want(t, "status of in-service", successor.adminCall(t, "PUT", "/control/in-service"), 200)
 	for range 20 {
-		want(t, "health", old.healthStatus(t), 200)
+		want(t, "health after the drain", old.healthStatus(t), 200)
 	}
 	idle := old.dialClient(t)
 	idle.send(t, old.newRequest("read", ""))
-	want(t, "kept", idle.readResponse(t).Close, false)
+	want(t, "response closes the connection", idle.readResponse(t).Close, false)
 	old.cancel()
 	idle.send(t, old.newRequest("read", ""))
 	resp := idle.readResponse(t)
-	want(t, "on a kept connection", resp.StatusCode, 200)
-	for range 50 { // until the old one has closed what it had, and beyond
-		c := heir.dialClient(t)
-		c.send(t, heir.newRequest("read", ""))
-		want(t, "on a new connection", c.readResponse(t).StatusCode, 200)
+	want(t, "status on an idle connection", resp.StatusCode, 200)
+	for range 50 { // until the old process has closed its connections, and longer
+		c := successor.dialClient(t)
+		c.send(t, successor.newRequest("read", ""))
+		want(t, "status on a new connection", c.readResponse(t).StatusCode, 200)
 	}
 	close(hold)
-	resp = taken.readResponse(t)
-	want(t, "taken by the old one", resp.StatusCode, 200)
+	resp = inFlight.readResponse(t)
+	want(t, "status of the old process's request in flight", resp.StatusCode, 200)
 	if err := <-old.runResult; err != nil {
 		t.Error(err)
 	}
 	old.runResult <- nil
-	want(t, "health of the new one", heir.healthStatus(t), 200)
+	want(t, "health of the new process", successor.healthStatus(t), 200)
 	select {
-	case r := <-worked.received:
-		t.Errorf("sent to an upstream in maintenance: %s", r.URL)
+	case r := <-offline.received:
+		t.Errorf("a request was sent to an upstream in maintenance: %s", r.URL)
 	default:
 	}
-	want(t, "back from maintenance", heir.adminCall(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
-	heir.waitUntil(t, "used again", func() bool {
-		_, body := heir.do(t, heir.newRequest("read", ""))
+	want(t, "status of online", successor.adminCall(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
+	successor.waitUntil(t, "upstream used after maintenance", func() bool {
+		_, body := successor.do(t, successor.newRequest("read", ""))
 		return body == "never"
 	})
 }
 
-// A balancer that was drained before its process was replaced is drained after it, and yet ready; SIGTERM ends it as
-// any other.
-func TestDrainOutlivesTheProcess(t *testing.T) {
+// Guards against a new process that forgets that the balancer was out of service, is not ready because of it, or does not
+// shut down.
+func TestDrainSurvivesRestart(t *testing.T) {
 	s := newTestUpstream(t, respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -280,19 +283,19 @@
 	members := []member{upMember("s-00000001", s)}
 	first := &testBalancer{config: Config{StateDir: t.TempDir()}}
 	if err := os.WriteFile(filepath.Join(first.config.StateDir, "olivearch-n0.json"),
-		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"fields are passed over"}`), 0o600); err != nil {
+		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"unknown fields are ignored"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b := first.succeed(t, l, members...)
+	b := first.startSuccessor(t, l, members...)
 	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.waitUntil(t, "ready", func() bool { return b.adminCall(t, "GET", "/control/ready") == 200 })
 	want(t, "health", b.healthStatus(t), 503)
-	want(t, "back, of one that no list names now", b.adminCall(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
+	want(t, "status of online for an unlisted upstream", b.adminCall(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
 	c := b.dialClient(t)
 	c.send(t, b.newRequest("read", ""))
 	resp := c.readResponse(t)
-	want(t, "served in the drain", resp.StatusCode, 200)
-	want(t, "closes behind it", resp.Close, true)
+	want(t, "status during the drain", resp.StatusCode, 200)
+	want(t, "response closes the connection", resp.Close, true)
 	b.cancel()
 	if err := <-b.runResult; err != nil {
 		t.Error(err)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -168,7 +168,7 @@
 func startBalancerWith(t *testing.T, modify func(*Config), members ...member) *testBalancer {
 	t.Helper()
 	d := newManualDiscovery(t)
-	c := configOf(t, d.addr, members)
+	c := parsedConfigWith(t, d.addr, members)
 	modify(&c)
 	l, err := Listen(&c)
 	if err != nil {
@@ -309,7 +309,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := newHand(t)
+		h := newLoopHarness(t)
 		front := newFrontend(&c, listener, h.loop)
 		clientConn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -328,14 +328,14 @@
 	})
 	t.Run("before the loop handles the disconnect", func(t *testing.T) {
 		upstream := newTestUpstream(t, respondOK)
-		h := newHand(t)
-		connecting, release := h.lateConns()
-		h.list(20, upMember("s-00000001", upstream))
-		r := h.begin("read", "1", time.Second)
+		h := newLoopHarness(t)
+		connecting, release := h.delayConns()
+		h.setMembers(20, upMember("s-00000001", upstream))
+		r := h.startRequest("read", "1", time.Second)
 		<-connecting
 		r.clientGone.Store(true)
 		close(release)
-		h.next()
+		h.applyNextEvent()
 		want(t, "requests written", len(upstream.received), 0)
 	})
 }
@@ -633,11 +633,11 @@
 	for _, m := range malformedRequests() {
 		t.Run(m.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
-				close(v.gate)
-				v.tell(50, v.upstream(respondOK).member("s-00000001"))
+				v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+				close(v.connectGate)
+				v.sendList(50, v.addUpstream(respondOK).member("s-00000001"))
 				synctest.Wait()
-				conn, start := v.meet(), time.Now()
+				conn, start := v.connectClient(), time.Now()
 				go io.WriteString(conn, m.text)
 				got, _ := io.ReadAll(conn)
 				m.checkResponse(t, string(got))
@@ -645,8 +645,8 @@
 					t.Errorf("got a response or a close after %v, want at most 3s", took)
 				}
 				conn.Close()
-				want(t, "requests started at the upstream", v.begun(), 0)
-				v.rest()
+				want(t, "requests started at the upstream", v.requestsStarted(), 0)
+				v.expireAndStop()
 			})
 		})
 	}
@@ -903,7 +903,7 @@
 	newDiscovery := newManualDiscovery(t)
 	reloaded := b.config
 	reloaded.Discovery = newDiscovery.addr
-	b.reloads <- again(reloaded)
+	b.reloads <- reloadOf(reloaded)
 	want(t, "call to the new server", <-newDiscovery.calls, "")
 	select { // the call to the old server has been cancelled; a response that is still written comes too late
 	case b.discovery.responses <- discoveryList{Revision: 30, Complete: true, Members: []member{upMember("s-00000001", oldUpstream)}}:
@@ -931,7 +931,7 @@
 	oldClient := l.discoveryClient
 	newConfig := c
 	newConfig.Discovery = "127.0.0.1:9"
-	configReloaded{again(newConfig), nil}.apply(l)
+	configReloaded{reloadOf(newConfig), nil}.apply(l)
 	l.applyListUpdate(listUpdate{from: oldClient, discoveryList: discoveryList{Revision: 90, Complete: true}})
 	want(t, "upstreams after a late list", len(l.upstreams), 1)
 	want(t, "revision after the late list", l.revision, uint64(0))
@@ -1026,7 +1026,7 @@
 		}
 	}
 	select {
-	case b.reloads <- again(c):
+	case b.reloads <- reloadOf(c):
 		<-newDiscovery.calls // the new server has been called, and its list is awaited
 	case <-time.After(10 * time.Second):
 		t.Error("the reload was not accepted within 10s")
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -84,15 +84,15 @@
 // clock keeps deadlines from expiring on a busy machine.
 func TestLargeBodiesPassUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newVirtual(t, silentPipe(t), noDiscovery, func(*Config, *garnettide.Settings) {})
-		close(v.gate)
-		u := v.upstream(respondOK)
+		v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+		close(v.connectGate)
+		u := v.addUpstream(respondOK)
 		u.serve = echoBodies
-		v.tell(50, u.member("s-00000001"))
+		v.sendList(50, u.member("s-00000001"))
 		synctest.Wait()
 		memoryBefore := v.memory.available.Load()
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
-			return v.meet(), nil
+			return v.connectClient(), nil
 		}}}
 		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
 			for _, chunked := range []string{"", "1"} {
@@ -122,7 +122,7 @@
 		synctest.Wait()
 		want(t, "free body memory at the end", v.memory.available.Load(), memoryBefore)
 		client.CloseIdleConnections()
-		v.rest()
+		v.expireAndStop()
 	})
 }
 
