--- a/api.go
+++ b/api.go
@@ -274,7 +274,7 @@
 	// SetMaintenance takes an upstream out of service for maintenance, or back in service.
 	SetMaintenance(now time.Duration, id UpstreamID, out bool)
 	// Reconfigure applies a plan; c is its difference from the current one.
-	Reconfigure(now time.Duration, p *Plan, c PlanDiff)
+	Reconfigure(now time.Duration, p *Plan, diff PlanDiff)
 }
 
 var _ Events = (*Balancer)(nil)
--- a/balancer.go
+++ b/balancer.go
@@ -246,7 +246,7 @@
 func (b *Balancer) ResponseStarted(now time.Duration, o Outcome) {
 	if r := b.requests[o.ID]; r != nil && !r.done && o.Attempt >= 0 && o.Attempt < len(r.attempts) {
 		a := r.attempts[o.Attempt]
-		b.recordOutcome(a, o.sanitized(), now)
+		b.recordOutcome(a, o.sanitised(), now)
 		a.responseStarted = true
 		b.finish(r)
 		b.dispatch(now)
@@ -275,7 +275,7 @@
 		}
 	}
 	if !a.responseStarted {
-		b.recordOutcome(a, o.sanitized(), now)
+		b.recordOutcome(a, o.sanitised(), now)
 	}
 	switch {
 	case r.done || o.RequestDone || o.Status == OK:
@@ -446,7 +446,7 @@
 			b.log(now, "lost",
 				"upstream %d: no answer for %v while %d later requests were answered: retrying elsewhere",
 				u.ID, now-a.sentAt, a.overtakes)
-			b.retryElsewhere(a, now)
+			b.retryEarly(a, now)
 		} else if !a.lost && oldest == nil {
 			oldest = a
 		}
@@ -462,7 +462,7 @@
 	b.log(now, "unresponsive", "upstream %d has not answered for %v: sending trial requests only",
 		u.ID, silentFor)
 	for _, a := range slices.Clone(u.inFlight) {
-		b.retryElsewhere(a, now)
+		b.retryEarly(a, now)
 	}
 }
 
@@ -476,7 +476,7 @@
 // retryElsewhere sends the request of a to another upstream if it may run twice and has no other attempt in
 // flight. If the settings allow only one attempt at a time, it cancels a instead if they permit that; the
 // retry then follows the Outcome of a.
-func (b *Balancer) retryElsewhere(a *attempt, now time.Duration) {
+func (b *Balancer) retryEarly(a *attempt, now time.Duration) {
 	if req := a.req; req.class.Idempotency == NonIdempotent || req.Streaming || req.done ||
 		req.attemptsInFlight > 1 {
 		return
@@ -565,7 +565,7 @@
 // answers probes may still fail requests.
 func (b *Balancer) Probed(now time.Duration, p ProbeResult) {
 	if u := b.byID[p.Upstream]; u != nil && p.Status == OK {
-		b.recordLoad(u, p.Load.sanitized(), false, 0, now)
+		b.recordLoad(u, p.Load.sanitised(), false, 0, now)
 	}
 }
 
--- a/discovery.go
+++ b/discovery.go
@@ -43,7 +43,7 @@
 	listed := make(map[UpstreamID]bool, len(list))
 	for _, entry := range list {
 		listed[entry.ID] = true
-		b.applyEntry(entry.sanitized(), now)
+		b.applyEntry(entry.sanitised(), now)
 	}
 	for _, u := range b.upstreams {
 		if mode != ListDelta && !listed[u.ID] {
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -43,11 +43,11 @@
 	accepted := 0
 	for _, text := range texts {
 		s, timeouts, err := DecodeSettings([]byte(text))
-		var m unmarshalledSettings
-		unmarshalErr := json.Unmarshal([]byte(text), &m)
-		_, knownMode := pollByMembershipMode[m.MembershipMode]
+		var unmarshalled unmarshalledSettings
+		unmarshalErr := json.Unmarshal([]byte(text), &unmarshalled)
+		_, knownMode := pollByMembershipMode[unmarshalled.MembershipMode]
 		allNonIdempotent := true
-		for _, p := range m.Profiles {
+		for _, p := range unmarshalled.Profiles {
 			allNonIdempotent = allNonIdempotent && p.Idempotency == "non_idempotent"
 		}
 		if valid := unmarshalErr == nil && knownMode && allNonIdempotent; valid != (err == nil) {
@@ -60,18 +60,18 @@
 		for _, c := range s.Classes {
 			got = append(got, fmt.Sprint(c.Name, c.Worth, c.LatencyTarget, c.Deadline))
 		}
-		for _, p := range m.Profiles {
+		for _, p := range unmarshalled.Profiles {
 			want = append(want, fmt.Sprint(p.Name, p.Worth, microseconds(p.Target), microseconds(p.TotalTimeout)))
 		}
 		for _, x := range s.Tenants {
 			got = append(got, fmt.Sprint(x.Name, x.Quota))
 		}
-		for _, x := range m.Tenants {
+		for _, x := range unmarshalled.Tenants {
 			want = append(want, fmt.Sprint(x.Name, x.Quota))
 		}
 		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel, s.Requirements.ColdCapacity, timeouts))
-		want = append(want, fmt.Sprint(m.Zone, m.Balancers, m.Limits.MaxAttempts, m.Limits.Cancel, m.Requirements.ColdCapacity,
-			ConnTimeouts{microseconds(m.Limits.IdleTimeout), microseconds(m.Limits.ConnectTimeout)}))
+		want = append(want, fmt.Sprint(unmarshalled.Zone, unmarshalled.Balancers, unmarshalled.Limits.MaxAttempts, unmarshalled.Limits.Cancel, unmarshalled.Requirements.ColdCapacity,
+			ConnTimeouts{microseconds(unmarshalled.Limits.IdleTimeout), microseconds(unmarshalled.Limits.ConnectTimeout)}))
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s: decoded as %v, want %v", text, got, want)
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -111,7 +111,7 @@
 // setting names it.
 func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (s garnettide.Settings,
 	timeouts ConnTimeouts, err error) {
-	var p settingsJSON
+	var parsed settingsJSON
 	seen := map[string]bool{}
 	if err := d.Object(func(key string) error {
 		listKey := strings.ToLower(key)
@@ -120,7 +120,7 @@
 			"tenants":  func() error { return d.addTenant(addTenant) },
 		}[listKey]
 		if decodeElement == nil {
-			return d.Field(key, &p)
+			return d.Field(key, &parsed)
 		} else if seen[listKey] {
 			return fmt.Errorf("%s is set twice", listKey)
 		}
@@ -132,25 +132,25 @@
 	}); err != nil {
 		return s, timeouts, fmt.Errorf("settings: %w", err)
 	}
-	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = p.Zone, p.Balancers, p.Rank, p.OverQuota
-	s.WorthByWork, s.Granularity = p.WorthBy == "work", microseconds(p.Granularity)
-	s.Limits = garnettide.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
-		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: microseconds(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
-	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: microseconds(p.Requirements.MaxDiscoveryInterval),
-		ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: microseconds(p.Requirements.WarmupTime),
-		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: microseconds(p.Requirements.OverloadWindow),
-		DrainGrace:  microseconds(p.Requirements.DrainGrace),
-		AnswerSlack: microseconds(p.Requirements.Slack)}
-	timeouts = ConnTimeouts{IdleTimeout: microseconds(p.Limits.IdleTimeout), ConnectTimeout: microseconds(p.Limits.ConnectTimeout)}
+	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = parsed.Zone, parsed.Balancers, parsed.Rank, parsed.OverQuota
+	s.WorthByWork, s.Granularity = parsed.WorthBy == "work", microseconds(parsed.Granularity)
+	s.Limits = garnettide.Limits{Cancel: parsed.Limits.Cancel, Probes: parsed.Limits.Probes, Hedging: parsed.Limits.Hedging,
+		RetryAfter: parsed.Limits.RetryAfter, MaxRetryAfter: microseconds(parsed.Limits.MaxRetryAfter), MaxAttempts: parsed.Limits.MaxAttempts}
+	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: microseconds(parsed.Requirements.MaxDiscoveryInterval),
+		ColdCapacity: parsed.Requirements.ColdCapacity, WarmupTime: microseconds(parsed.Requirements.WarmupTime),
+		OverloadFactor: parsed.Requirements.OverloadFactor, OverloadWindow: microseconds(parsed.Requirements.OverloadWindow),
+		DrainGrace:  microseconds(parsed.Requirements.DrainGrace),
+		AnswerSlack: microseconds(parsed.Requirements.Slack)}
+	timeouts = ConnTimeouts{IdleTimeout: microseconds(parsed.Limits.IdleTimeout), ConnectTimeout: microseconds(parsed.Limits.ConnectTimeout)}
 	var ok bool
-	if s.PollDiscovery, ok = pollByMembershipMode[p.MembershipMode]; !ok {
-		return s, timeouts, fmt.Errorf("settings: membership_mode: unknown value %q", p.MembershipMode)
+	if s.PollDiscovery, ok = pollByMembershipMode[parsed.MembershipMode]; !ok {
+		return s, timeouts, fmt.Errorf("settings: membership_mode: unknown value %q", parsed.MembershipMode)
 	}
-	if s.Weights, ok = weightKindByName[p.Weights]; !ok {
-		return s, timeouts, fmt.Errorf("settings: weights: unknown value %q", p.Weights)
+	if s.Weights, ok = weightKindByName[parsed.Weights]; !ok {
+		return s, timeouts, fmt.Errorf("settings: weights: unknown value %q", parsed.Weights)
 	}
-	if s.Reports, ok = reportModeByName[p.Reporting.Via]; !ok {
-		return s, timeouts, fmt.Errorf("settings: reporting.via: unknown value %q", p.Reporting.Via)
+	if s.Reports, ok = reportModeByName[parsed.Reporting.Via]; !ok {
+		return s, timeouts, fmt.Errorf("settings: reporting.via: unknown value %q", parsed.Reporting.Via)
 	}
 	return s, timeouts, nil
 }
--- a/requests_test.go
+++ b/requests_test.go
@@ -541,7 +541,7 @@
 	now := time.Hour
 	b.Request(now, Request{ID: 1, Class: "read", Budget: time.Second, Streaming: true})
 	first := b.requests[1].attempts[0]
-	b.retryElsewhere(first, now)
+	b.retryEarly(first, now)
 	if h.count("send id=1 ") != 1 {
 		t.Fatal("streaming request was hedged, want one attempt")
 	}
--- a/settings.go
+++ b/settings.go
@@ -120,40 +120,40 @@
 
 // Since returns the difference between p and an older plan. It calls yield after each class and tenant compared.
 func (p *Plan) Since(old *Plan, yield func()) PlanDiff {
-	var c PlanDiff
+	var diff PlanDiff
 	if p == old {
-		return c
+		return diff
 	}
 	for name, class := range p.classes {
 		if previous := old.classes[name]; previous == nil {
-			c.Classes.Added++
+			diff.Classes.Added++
 		} else if *previous != *class {
-			c.Classes.Changed++
+			diff.Classes.Changed++
 		}
 		yield()
 	}
 	for name, quota := range p.tenants {
 		if previous, ok := old.tenants[name]; !ok {
-			c.Tenants.Added++
+			diff.Tenants.Added++
 		} else if previous != quota {
-			c.Tenants.Changed++
+			diff.Tenants.Changed++
 		}
 		yield()
 	}
 	for name := range old.classes {
 		if p.classes[name] == nil {
-			c.removedClasses = append(c.removedClasses, name)
+			diff.removedClasses = append(diff.removedClasses, name)
 		}
 		yield()
 	}
 	for name := range old.tenants {
 		if _, ok := p.tenants[name]; !ok {
-			c.removedTenants = append(c.removedTenants, name)
+			diff.removedTenants = append(diff.removedTenants, name)
 		}
 		yield()
 	}
-	c.Classes.Removed, c.Tenants.Removed = len(c.removedClasses), len(c.removedTenants)
-	return c
+	diff.Classes.Removed, diff.Tenants.Removed = len(diff.removedClasses), len(diff.removedTenants)
+	return diff
 }
 
 // validate checks all settings except the classes and tenants.
@@ -205,7 +205,7 @@
 // Invalid values in events are replaced rather than rejected, to keep them out of running means.
 
 // sanitized returns l without values that are negative, not finite or larger than math.MaxInt32.
-func (l Load) sanitized() Load {
+func (l Load) sanitised() Load {
 	for i, x := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.ServiceTime, &l.RequestRate, &l.ErrorRate} {
 		if !finiteNonNegative(*x) || *x > math.MaxInt32 {
 			*x, l.Fields = 0, l.Fields&^(1<<i)
@@ -215,14 +215,14 @@
 }
 
 // sanitized returns o with a latency of at least 1 ns and a sanitized load.
-func (o Outcome) sanitized() Outcome {
-	o.Latency, o.Load = max(o.Latency, 1), o.Load.sanitized()
+func (o Outcome) sanitised() Outcome {
+	o.Latency, o.Load = max(o.Latency, 1), o.Load.sanitised()
 	return o
 }
 
 // sanitized returns u with a weight of 1 if its weight is not finite, not greater than zero or larger than
 // math.MaxInt32.
-func (u Upstream) sanitized() Upstream {
+func (u Upstream) sanitised() Upstream {
 	if !finiteNonNegative(u.Weight) || u.Weight == 0 || u.Weight > math.MaxInt32 {
 		u.Weight = 1
 	}
