--- a/api.go
+++ b/api.go
@@ -5,16 +5,16 @@
 //
 // A Balancer serves one proxy instance. Its owner calls one method for each event, from one goroutine at a time. The
 // argument now is a time since a fixed origin on a monotonic clock, and never decreases. The Balancer acts by calling
-// its Host, only during such a call. It reads no clock, starts no goroutine and shares no state with other Balancers.
-// The same events with the same seed produce the same actions.
+// its Host, only during such a call or its creation. It reads no clock, starts no goroutine and shares no mutable state
+// with other Balancers. The same events with the same seed produce the same actions.
 //
 // A request begins with Request, followed by one Outcome for each Send and at most one ClientGone. An Outcome may
 // follow the final answer of its request. Events with unknown ids are ignored. Memory is bounded by the number of open
 // requests, attempts and listed upstreams, and by the classes and tenants of the settings.
 //
 // Settings can change at run time: NewPlan checks them on any goroutine, and Reconfigure applies the plan. A request
-// that has been accepted keeps the class settings it was read with. New requests of a removed class or tenant are
-// refused.
+// that has been accepted keeps the class settings that were in force when it was read. New requests of a removed class
+// or tenant are refused.
 //
 // Each request gets exactly one final answer: a successful Outcome, Refuse or Fail. Refuse tells the client that it may
 // safely retry.
@@ -22,7 +22,8 @@
 
 import "time"
 
-// RequestID identifies one try of a client's request. Ids are never reused.
+// RequestID identifies one try of a client's request. A try may take several attempts, each sent to one upstream. Ids
+// are never reused.
 type RequestID uint64
 
 // UpstreamID identifies an upstream. It stays the same when the upstream restarts.
@@ -31,6 +32,7 @@
 // Idempotency tells whether requests of a class may be executed more than once. Smaller values permit more.
 type Idempotency uint8
 
+// The kinds of idempotency.
 const (
 	Idempotent      Idempotency = iota // may be executed any number of times
 	IdempotentByKey                    // upstreams in Class.DedupScope drop duplicates for Class.DedupWindow
@@ -40,6 +42,7 @@
 // DedupScope is the set of upstreams that drop duplicates of an IdempotentByKey request among themselves.
 type DedupScope uint8
 
+// The dedup scopes.
 const (
 	DedupAll  DedupScope = iota // all upstreams
 	DedupZone                   // upstreams of the same zone
@@ -64,7 +67,7 @@
 	Quota float64 // requests per second, over all balancers
 }
 
-// Limits tells which actions are permitted, and how often.
+// Limits tells which actions a Balancer may take, and how often.
 type Limits struct {
 	Cancel        bool          // attempts may be cancelled
 	Probes        bool          // upstreams may be probed
@@ -76,11 +79,11 @@
 
 // Requirements holds the required behaviour towards discovery, cold and draining upstreams, and clients.
 type Requirements struct {
-	MaxDiscoveryInterval time.Duration // with PollDiscovery: longest time between calls of discovery
+	MaxDiscoveryInterval time.Duration // longest time between calls of discovery; may be 0 without PollDiscovery
 	ColdCapacity         float64       // capacity of an upstream at its start, as a fraction of its full capacity
 	WarmupTime           time.Duration // time after its start at which an upstream has full capacity
 	OverloadFactor       float64       // load, as a multiple of current capacity, that overloads a cold upstream
-	OverloadWindow       time.Duration // time for which it has to be exceeded
+	OverloadWindow       time.Duration // time for which the load has to exceed OverloadFactor
 	DrainGrace           time.Duration // time within which sends to a draining upstream must stop
 	AnswerSlack          time.Duration // how long after the client's deadline a final answer may come
 }
@@ -88,6 +91,7 @@
 // WeightKind tells how to interpret Upstream.Weight.
 type WeightKind uint8
 
+// The kinds of weights.
 const (
 	WeightNone         WeightKind = iota // always 1
 	WeightNominal                        // size
@@ -98,10 +102,11 @@
 // ReportMode tells which messages carry load reports.
 type ReportMode uint8
 
+// The report modes.
 const (
-	ReportNone        ReportMode = iota
-	ReportInResponses            // outcomes and probe results
-	ReportInProbes               // probe results only
+	ReportNone        ReportMode = iota // no reports
+	ReportInResponses                   // outcomes and probe results
+	ReportInProbes                      // probe results only
 )
 
 // Settings configures a Balancer.
@@ -124,10 +129,11 @@
 // State is the state of an upstream according to discovery.
 type State uint8
 
+// The states.
 const (
-	Active State = iota
-	Draining
-	Removed
+	Active   State = iota // may get requests
+	Draining              // must get no new attempts
+	Removed               // no longer listed
 )
 
 // Upstream is one entry of a discovery list.
@@ -187,6 +193,7 @@
 // LoadField is a set of bits, one for each value of a Load.
 type LoadField uint8
 
+// The bits, in the order of the values in Load.
 const (
 	HasUtil LoadField = 1 << iota
 	HasInflight
@@ -230,10 +237,10 @@
 // Host carries out the actions of a Balancer.
 type Host interface {
 	// Send starts an attempt, which ends with a Timeout after timeout; 0 sets no limit other than the client's.
-	// While several attempts of a request may be executed, each is written to its upstream within window of the
-	// others' Sends or not at all. A window of 0 or less sets no limit.
+	// If earlier attempts of the request may have been executed, each of its attempts must be written to its
+	// upstream less than window after the Sends of the others, or not at all. A window of 0 or less sets no limit.
 	Send(id RequestID, up UpstreamID, timeout, window time.Duration)
-	// Refuse answers that the request was not served and may safely be retried; retryAfter 0 gives no time for that.
+	// Refuse answers that the request was not served and may safely be retried after retryAfter; 0 names no time.
 	Refuse(id RequestID, retryAfter time.Duration)
 	// Fail answers that the request failed and may have been executed.
 	Fail(id RequestID)
@@ -253,9 +260,9 @@
 	Log(text string)
 }
 
-// Events is the set of methods by which the owner passes events to a Balancer.
+// Events is the set of methods by which the owner of a Balancer passes events to it.
 type Events interface {
-	// Members applies a list from discovery, or notes that it failed.
+	// Members applies a list from discovery or, with ListFailed or ListStale, notes that there is none.
 	Members(now time.Duration, mode ListMode, list []Upstream)
 	// Request accepts a client's request.
 	Request(now time.Duration, r Request)
@@ -273,7 +280,7 @@
 	Timer(now time.Duration, token uint64)
 	// SetMaintenance takes an upstream out of service for maintenance, or back in service.
 	SetMaintenance(now time.Duration, id UpstreamID, out bool)
-	// Reconfigure applies a plan; c is its difference from the current one.
+	// Reconfigure applies a plan; diff is its difference from the current one.
 	Reconfigure(now time.Duration, p *Plan, diff PlanDiff)
 }
 
--- a/balancer.go
+++ b/balancer.go
@@ -30,23 +30,23 @@
 	lowLatencyRatio        = 1.5  // to the minimum latency: an answer below it saw no queue at the upstream
 	highLatencyRatio       = 1.6  // to the baseline latency: above it the upstream is overloaded
 	highLatencyTargetShare = 0.5  // share of the latency target below which no latency counts as overload
-	fullUtil               = 0.8  // mean utilisation from which on an upstream counts as fully used
+	fullUtil               = 0.8  // mean utilisation from which an upstream counts as fully used
 )
 
-// Retries, queueing and the interleave of upstreams.
+// Retries, queueing and the weighted round robin of the upstreams.
 const (
 	responseTimeoutDevs = 5.0  // mean deviations over the usual latency after which an answer is late
-	minOvertakes        = 2    // answers to later attempts that a lost attempt has seen
-	lateAnswerAllowance = 2.0  // added to the response timeout factor, times the share of late answers that come
-	latencyMargin       = 2.33 // time that a retry needs before its latency target, in mean latencies
-	maxMissedTurns      = 1.0  // missed turns of the interleave that an upstream may catch up on
+	minOvertakes        = 2    // later attempts that were answered first, for an attempt to count as lost
+	lateAnswerAllowance = 2.0  // in response timeouts: extra wait for a late answer, times lateAnswerRatio
+	latencyMargin       = 2.33 // time reserved for an answer before the latency target, in mean latencies
+	maxMissedTurns      = 1.0  // missed turns that an upstream may catch up on
 	backoffGrowth       = 2    // factor between successive waits
 )
 
 // Timers.
 const (
-	ticksPerTarget            = 16 // ticks in the smallest latency target
-	tickToken, discoveryToken = 1, 2
+	ticksPerTarget            = 16   // ticks in the smallest latency target
+	tickToken, discoveryToken = 1, 2 // tokens of Host.SetTimer
 )
 
 // New returns a Balancer, or an error that names an invalid setting and wraps ErrInvalidSettings.
@@ -70,7 +70,7 @@
 		periodStart: now, lastQueuedAt: now, lateAnswerRatio: 1}
 	b.applyPlan(p)
 	b.selectSubset(now)
-	b.latency = float64(p.minTarget) / 4 // until the first answer
+	b.latency = float64(p.minTarget) / 4 // starting value of the running mean
 	host.SetTimer(b.tickInterval, tickToken)
 	if b.config.PollDiscovery {
 		// The first calls are staggered, as all balancers may start together, but still early enough to
@@ -82,7 +82,8 @@
 
 // --- Requests ---
 
-// maySend reports whether r may be sent, or sent again, to u. It is the only place where this is decided.
+// maySend reports whether the limits and the idempotency of the class permit an attempt of r at u. It is the
+// only place where this is decided.
 func (b *Balancer) maySend(r *request, u *upstream, now time.Duration) bool {
 	if r.done || r.bodyConsumed || now >= r.deadline || !b.available(u) ||
 		len(r.attempts) >= b.config.Limits.MaxAttempts ||
@@ -100,8 +101,8 @@
 	return true
 }
 
-// mayRefuse reports whether the client may be told that a retry is safe. It is the only place where this is
-// decided.
+// mayRefuse reports whether the client may be told that a retry of r is safe: either no attempt can have been
+// executed, or a repetition does no harm. It is the only place where this is decided.
 func (b *Balancer) mayRefuse(r *request) bool {
 	return r.class.Idempotency == Idempotent ||
 		(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAll) ||
@@ -130,17 +131,18 @@
 	}
 	// A budget other than the usual one is the rest of the client's deadline, so it tells how old a retry
 	// is. A retry that is unlikely to meet the latency target counts with its late worth only. The margin
-	// is smaller for classes of more worth, as even a small chance of theirs outweighs a cheap request.
+	// is smaller for classes of more worth, as a small chance to answer one of their requests in time is
+	// worth more than a cheap request.
 	margin := time.Duration((latencyMargin - c.LateWorth) * cmp.Or(c.latency, b.latency) *
 		b.plan.worthRatio(c.Worth))
 	if !c.observeBudget(incoming.Budget) && c.LatencyTarget-(c.Deadline-incoming.Budget) < margin {
 		r.worth *= c.LateWorth
 	}
-	// A request is queued for at most half of its time, so that the client's next try can still be in time.
-	// One tick is subtracted, as queued requests are checked once a tick.
+	// A request is queued for at most half of the time that the margin leaves, so that the client's next try
+	// can still be in time. One tick is subtracted, as queued requests are checked once a tick.
 	r.sendBy = now + (min(c.LatencyTarget, incoming.Budget)-max(margin, b.tickInterval))/2 - b.tickInterval
 	b.requests[r.ID] = r
-	if r.worth == 0 && now-b.lastQueuedAt < time.Duration(b.latency) { // no upstream was free recently
+	if r.worth == 0 && now-b.lastQueuedAt < time.Duration(b.latency) { // a request was queued recently
 		b.endUnserved(r, now)
 	} else {
 		b.route(r, now)
@@ -212,11 +214,12 @@
 	return min(max(soonest, queueTime), b.config.Limits.MaxRetryAfter)
 }
 
-// finish marks r as done. Other attempts in flight are not cancelled: the upstream would work on them all
-// the same, and their slots would be filled with more work.
+// finish marks r as done and forgets it once no attempt is in flight. A request that was never sent no longer
+// counts against the quota. Attempts in flight are not cancelled: the upstreams would continue to work on
+// them while their slots are filled with more work.
 func (b *Balancer) finish(r *request) {
 	if t := r.tenant; t != nil && !r.done && !r.overQuota && len(r.attempts) == 0 {
-		t.level = max(0, t.level-1) // it was never sent, so it does not count against the quota
+		t.level = max(0, t.level-1)
 	}
 	if r.done = true; r.attemptsInFlight == 0 {
 		delete(b.requests, r.ID)
@@ -312,9 +315,9 @@
 		u.minLatency, u.baselineLatency =
 			min(u.minLatency, latencyPerUnit), min(u.baselineLatency, u.smoothedLatency)
 		// An upstream that has been overloaded since it was first used is compared with the fleet's values.
-		// The limit is cut by the baseline of the smoothed latency, so that a single fast answer does not
-		// make others look slow. It grows by the minimum latency or, where answers are sparse, by reported
-		// utilisation.
+		// The limit is cut if the latency is high compared with the baseline of the smoothed latency, so that a
+		// single fast answer does not make others look slow. It grows if the latency is close to the minimum
+		// or, where answers are sparse, if the upstream reports that it is not fully used.
 		minLatency, baselineLatency := min(u.minLatency, cmp.Or(b.minLatency, u.minLatency)),
 			min(u.baselineLatency, cmp.Or(b.baselineLatency, u.baselineLatency))
 		sparse := weight > 0.5 && u.readings > 0
@@ -349,8 +352,8 @@
 	return time.Duration(max(0, 1/u.limit-1) * cmp.Or(u.latency, b.latency))
 }
 
-// cutLimit lowers the limit of u by a factor, at most once per latency, so once for attempts in flight
-// together.
+// cutLimit multiplies the limit of u by factor, at most once in a mean latency, so that attempts that were in
+// flight together cut it once.
 func (b *Balancer) cutLimit(u *upstream, now time.Duration, factor float64) {
 	if now-u.limitCutAt >= time.Duration(u.latency) {
 		u.limit, u.limitCutAt = max(b.initialLimit*minFleetLimit/initialFleetLimit,
@@ -388,7 +391,7 @@
 	}
 }
 
-// effectiveWeight returns the weight of u in the interleave.
+// effectiveWeight returns the weight of u in the round robin, after cuts of its share and during slow start.
 func (b *Balancer) effectiveWeight(u *upstream, now time.Duration) float64 {
 	return u.weight * u.shareFactor * b.warmupFraction(u, now)
 }
@@ -426,16 +429,16 @@
 
 // --- Eligibility ---
 
-// responseTimeout returns how long u may take to answer work of a size, in mean requests, before it counts
-// as late. It has a lower bound of a multiple of the mean latency of all upstreams.
+// responseTimeout returns how long u may take for a request of workUnits before the answer counts as late.
+// Its lower bound is a multiple of the mean latency of all upstreams.
 func (b *Balancer) responseTimeout(u *upstream, workUnits float64) time.Duration {
 	expected := max(u.latency+responseTimeoutDevs*u.latencyDev, (1+responseTimeoutDevs/2)*b.latency)
 	return time.Duration(expected*max(1, workUnits)) + b.tickInterval
 }
 
-// checkResponsiveness looks for lost attempts at u: they free their slots and are retried elsewhere. It
-// marks u as unresponsive if nothing has come back for longer than the response timeout: u then gets single
-// trial requests only, and its attempts are retried elsewhere.
+// checkResponsiveness looks for lost attempts at u: they free their slots, and their requests are retried. It
+// marks u as unresponsive if it has answered nothing for longer than the response timeout: u then gets trial
+// requests only, and the requests of its attempts are retried.
 func (b *Balancer) checkResponsiveness(u *upstream, now time.Duration) {
 	var oldest *attempt
 	for _, a := range slices.Clone(u.inFlight) {
@@ -444,7 +447,7 @@
 		} else if !a.lost && b.overdue(a, 1+lateAnswerAllowance*b.lateAnswerRatio, now) {
 			a.lost = true
 			b.log(now, "lost",
-				"upstream %d: no answer for %v while %d later requests were answered: retrying elsewhere",
+				"upstream %d: no answer for %v while %d later requests were answered: counting the attempt as lost",
 				u.ID, now-a.sentAt, a.overtakes)
 			b.retryEarly(a, now)
 		} else if !a.lost && oldest == nil {
@@ -466,16 +469,16 @@
 	}
 }
 
-// overdue reports whether a has been in flight for longer than factor times the response timeout while its
-// upstream answers later attempts and is not fully used. At full utilisation the attempt may just be slow.
+// overdue reports whether a has been in flight for longer than factor times the response timeout, although
+// its upstream has answered later attempts and is not fully used. At full utilisation a may just be slow.
 func (b *Balancer) overdue(a *attempt, factor float64, now time.Duration) bool {
 	return a.overtakes >= minOvertakes && a.up.utilMean < fullUtil &&
 		float64(now-a.sentAt) > factor*float64(b.responseTimeout(a.up, a.req.workUnits))
 }
 
-// retryElsewhere sends the request of a to another upstream if it may run twice and has no other attempt in
-// flight. If the settings allow only one attempt at a time, it cancels a instead if they permit that; the
-// retry then follows the Outcome of a.
+// retryEarly starts another attempt of the request of a, without waiting for the outcome of a, if the request
+// may be executed twice, is not streaming and has no other attempt in flight. If the settings allow only one
+// attempt at a time, it cancels a instead if they permit that; the retry then follows the Outcome of a.
 func (b *Balancer) retryEarly(a *attempt, now time.Duration) {
 	if req := a.req; req.class.Idempotency == NonIdempotent || req.Streaming || req.done ||
 		req.attemptsInFlight > 1 {
@@ -492,11 +495,11 @@
 	u.unresponsive, u.lastAnswerAt, u.backoff = false, now, b.tickInterval
 }
 
-// eligible reports whether u may take r now: it is not paused, has a free slot and, if it is cold, budget
-// left.
+// eligible reports whether u may take r now: it is not paused, has a free slot and, if it is cold, has
+// slow-start budget left. An unresponsive upstream may take r as a trial when its next trial is due.
 func (b *Balancer) eligible(u *upstream, r *request, now time.Duration) bool {
 	ok := now >= u.pausedUntil && float64(u.activeAttempts()) < max(1, math.Round(u.limit))
-	if u.unresponsive { // requests of other classes are sent as trials only after a further wait
+	if u.unresponsive { // requests of less idempotent classes are sent as trials only after a further wait
 		ok = now >= u.nextTrialAt && !r.Streaming &&
 			(r.class.Idempotency == b.mostIdempotent || now >= u.nextTrialAt+u.backoff)
 	}
@@ -505,9 +508,9 @@
 
 // --- Choice of an upstream ---
 
-// pick returns the eligible upstream with the earliest next turn, or nil, and charges it for the turn: a
-// weighted round robin in virtual time. permitted tells whether r may be sent to any upstream of the
-// subset, now or later.
+// pick returns the eligible upstream with the earliest next turn, or nil, and advances its next turn: a
+// weighted round robin in virtual time. permitted tells whether maySend permits r at an upstream of the
+// subset, eligible or not.
 func (b *Balancer) pick(r *request, now time.Duration) (best *upstream, permitted bool) {
 	var totalWeight float64
 	for _, u := range b.inUse {
@@ -532,9 +535,8 @@
 // --- Queue ---
 
 // dispatch sends queued requests, those of most worth first, while upstreams can take them. It ends
-// requests that cannot be answered in time, and those with more requests ahead than will be sent in time. A
-// request that has not been sent before and fits no upstream shows that the ones behind it do not fit
-// either.
+// requests that have waited until sendBy, and those with more requests ahead than will be sent by then. Once
+// no upstream can take a request that has not been sent before, the ones behind it are not tried.
 func (b *Balancer) dispatch(now time.Duration) {
 	kept, blocked, allInMaintenance := b.queued[:0], false, b.allInMaintenance()
 	for _, r := range b.queued {
@@ -571,7 +573,8 @@
 
 // --- Timers ---
 
-// Timer handles the expiry of a timer: the periodic tick or the next call of discovery.
+// Timer handles the expiry of a timer: the periodic tick or the next call of discovery. A tick ends a period
+// that is over, looks for lost attempts, starts probes and sends queued requests.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	if token != tickToken { // an unknown token must not start a second series of ticks
 		b.callDiscovery(now)
--- a/bands.go
+++ b/bands.go
@@ -54,8 +54,9 @@
 	return mean, math.Sqrt(dev)
 }
 
-// integrateBand adds the band width since the last call to the band area. The excess of the mean over the
-// fleet's median widens the band, as the utilisation of a saturated upstream hardly varies.
+// integrateBand adds the band width, integrated over the time since the last call, to the band area. The
+// excess of the mean over the fleet's median widens the band, as the utilisation of a saturated upstream
+// hardly varies.
 func (b *Balancer) integrateBand(u *upstream, now time.Duration) {
 	width := 2 * bandHalfWidth * (u.utilDev + max(0, u.utilMean-max(minExcessUtil, b.medianUtil)))
 	u.bandArea, u.integratedAt = u.bandArea+width*(now-u.integratedAt).Seconds()/bandPeriod.Seconds(), now
@@ -82,7 +83,7 @@
 	var totalWork, totalWeight float64
 	for _, u := range b.inUse {
 		b.integrateBand(u, now)
-		if u.periodWork > 0 || u.workPeriods > 0 { // the mean starts from an empty period
+		if u.periodWork > 0 || u.workPeriods > 0 { // the mean counts one empty period before the first
 			u.workPeriods++
 			u.meanWork += max(smoothing, 1/(u.workPeriods+1)) * (u.periodWork - u.meanWork)
 		}
--- a/cmd/clayladder-sim/main.go
+++ b/cmd/clayladder-sim/main.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// run replies to each batch until the end of the input.
+// run reads batches from in and writes a reply to each to out, until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
 	instances := map[int]*garnettide.Balancer{}
--- a/cmd/clayladder-sim/main_test.go
+++ b/cmd/clayladder-sim/main_test.go
@@ -11,7 +11,7 @@
 	`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":160000,` +
 	`"give_up_us":750000,"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"}}`
 
-// exchange returns the replies to a series of batches.
+// exchange returns the replies to a series of batches, and the error of run.
 func exchange(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -19,6 +19,7 @@
 	return out.String(), err
 }
 
+// TestExchange checks the replies to batches from the start of an instance to its end.
 func TestExchange(t *testing.T) {
 	in := "frame at_time_us=1000 serial=1\neob\n" +
 		"frame at_time_us=1000000 serial=2\n" +
@@ -41,7 +42,8 @@
 
 func TestInvalidSettingsWriteCrash(t *testing.T) {
 	invalid := strings.Replace(settingsText, `"max_attempts":3`, `"max_attempts":0`, 1)
-	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+invalid+"\neob\n")
+	got, err := exchange(t,
+		"frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+invalid+"\neob\n")
 	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=garnettide: invalid settings: Limits.MaxAttempts") {
 		t.Errorf("error %v, replies %q", err, got)
 	}
@@ -50,7 +52,8 @@
 // TestRepeatedAttachAndUnknownInstances checks that a second attach replaces the instance, and that events
 // for unknown instances are ignored.
 func TestRepeatedAttachAndUnknownInstances(t *testing.T) {
-	attach := "attach balancer_id=3 random_seed=5 params=" + settingsText + "\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
+	attach := "attach balancer_id=3 random_seed=5 params=" + settingsText +
+		"\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
 	in := "frame at_time_us=1000000 serial=1\nsheet bank=0 items=1\nm upstream=9 availability=active\n" + attach +
 		"inbound balancer_id=3 id=912855b15d3a91c4 budget_us=750000 class=c\neob\n" +
 		"frame at_time_us=1010000 serial=2\n" + attach +
@@ -64,6 +67,7 @@
 	}
 }
 
+// TestMalformedInputGetsNoReply checks that a batch with an unknown message ends run with an error.
 func TestMalformedInputGetsNoReply(t *testing.T) {
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nbogus balancer_id=1\neob\n")
 	if err == nil || got != "" {
--- a/cmd/olivearch/descriptors_test.go
+++ b/cmd/olivearch/descriptors_test.go
@@ -21,7 +21,8 @@
 
 // withDescriptorLimit returns a command that runs cmd with a limit on open file descriptors.
 func withDescriptorLimit(cmd *exec.Cmd, descriptors int) *exec.Cmd {
-	limited := exec.Command("/bin/sh", append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$@"`, descriptors), "sh"}, cmd.Args...)...)
+	limited := exec.Command("/bin/sh",
+		append([]string{"-c", fmt.Sprintf(`ulimit -n %d && exec "$@"`, descriptors), "sh"}, cmd.Args...)...)
 	limited.Dir = cmd.Dir
 	return limited
 }
@@ -33,7 +34,9 @@
 	const descriptors = 96
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "done") }))
+	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		io.WriteString(w, "done")
+	}))
 	defer upstream.Close()
 	listen, discovery := freeAddress(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -128,7 +131,8 @@
 		if r.FormValue("since") == "2" {
 			<-release
 		}
-		fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"s-00000001","host_port":"%s","phase":"up","size":1}]}`,
+		fmt.Fprintf(w,
+			`{"revision":2,"complete":true,"members":[{"id":"s-00000001","host_port":"%s","phase":"up","size":1}]}`,
 			upstream.Listener.Addr())
 	}))
 	discoveryServer.Listener.Close()
@@ -146,6 +150,8 @@
 	requestID := 0
 	waitUntil("a successful request", func() bool {
 		requestID++
-		return statusOf(fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\nX-Class: c\r\nContent-Length: 0\r\n\r\n", requestID)) == http.StatusOK
+		return statusOf(fmt.Sprintf(
+			"POST /c HTTP/1.1\r\nHost: x\r\nX-Request-Id: %d\r\nX-Class: c\r\nContent-Length: 0\r\n\r\n", requestID)) ==
+			http.StatusOK
 	})
 }
--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// run starts the load balancer and returns after a graceful shutdown or with an error.
 func run() error {
 	// Signal handlers are installed first, so that a signal during the start does not kill the process.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -33,8 +34,8 @@
 	if err != nil {
 		return err
 	}
-	// The load balancer runs on one core. A higher GC target saves CPU time; the soft memory limit bounds
-	// the additional memory.
+	// The load balancer runs on one core. A higher GC target saves CPU time; a soft limit of 60 % of the
+	// configured memory bounds the heap growth that it allows.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
 	memoryLimit := int64(config.MemoryMB) << 20 * 6 / 10
@@ -47,7 +48,8 @@
 		}
 	}
 	name := config.Name // copied, so that config and its plan can be freed
-	slog.Info("starting", "name", name, "listen", config.Listen, "known", len(config.CachedList.Members), "configuration", config.Hash)
+	slog.Info("starting", "name", name, "listen", config.Listen, "known", len(config.CachedList.Members),
+		"configuration", config.Hash)
 	listener, err := proxy.Listen(&config)
 	if err != nil {
 		return err
--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -230,7 +230,7 @@
 		settings[s.Key] = s.Value
 	}
 	if !hasInterpreter || settings["CGO_ENABLED"] != "1" || !strings.Contains(settings["-ldflags"], "-linkmode=external") {
-		t.Errorf("ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s; want a dynamically linked program", hasInterpreter, settings["CGO_ENABLED"],
-			settings["-ldflags"])
+		t.Errorf("ELF interpreter: %v, CGO_ENABLED=%s, -ldflags %s; want a dynamically linked program",
+			hasInterpreter, settings["CGO_ENABLED"], settings["-ldflags"])
 	}
 }
--- a/discovery.go
+++ b/discovery.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
+// Timing of discovery calls, and detection of draining upstreams while the list is unconfirmed.
 const (
-	discoveryCallTime = 60 * time.Millisecond // time in which discovery serves one call
+	discoveryCallTime = 60 * time.Millisecond // assumed time in which discovery serves one call
 	firstCallShare    = 0.7                   // share of the call round over which the first calls are spread
-	maxNotifyDelay    = 6 * time.Second       // time after which a change in discovery counts as notified
-	minCallReserve    = time.Second           // part of maxNotifyDelay reserved for the retry itself: as long as
-	maxCallReserve    = 2 * time.Second       // the failed call took, within these bounds
-	longPollThreshold = 7 * time.Second / 2   // a failed call that took longer had been served and waited for changes
+	maxNotifyDelay    = 6 * time.Second       // time within which a balancer has to learn of a change in discovery
+	minCallReserve    = time.Second           // smallest part of maxNotifyDelay that is reserved for the next call
+	maxCallReserve    = 2 * time.Second       // largest part; between them, the time that the failed call took
+	longPollThreshold = 7 * time.Second / 2   // a failed call that took longer counts as served and waiting for changes
 
 	rejectionLimit    = 2 // consecutive rejections after which an upstream is presumed to drain
 	presumedDrainTime = 2 * maxNotifyDelay
 )
 
-// Members applies a list from discovery, or notes that it failed.
+// Members applies a list from discovery. With ListStale it calls discovery at once, with ListFailed after a
+// wait.
 func (b *Balancer) Members(now time.Duration, mode ListMode, list []Upstream) {
 	b.listUnconfirmed = mode != ListFull && mode != ListDelta
 	switch mode {
@@ -39,7 +41,7 @@
 		b.log(now, "discovery", "discovery call failed: asking again in %v", delay)
 		return
 	}
-	b.mayMissChanges, b.discoveryBackoff, b.discoveryCalledAt = false, 0, now // the watch has made its next call
+	b.mayMissChanges, b.discoveryBackoff, b.discoveryCalledAt = false, 0, now // the watch has already made its next call
 	listed := make(map[UpstreamID]bool, len(list))
 	for _, entry := range list {
 		listed[entry.ID] = true
@@ -71,7 +73,7 @@
 	return earliest, latest
 }
 
-// callDiscovery calls discovery, which Members answers.
+// callDiscovery starts a new watch of discovery, which passes its lists to Members.
 func (b *Balancer) callDiscovery(now time.Duration) {
 	b.discoveryCalledAt = now
 	b.host.Watch(true)
--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -26,17 +26,25 @@
 		}
 		return strings.Replace(settingsText, old, new, 1)
 	}
-	texts := []string{settingsText, " \n" + settingsText + "\t\n", settingsText + "x", settingsText + "{}", "null", "[]", `""`, "7", "",
-		replace(`"profiles"`, `"PROFILES"`), replace(`"profiles"`, `"\u0070rofiles"`), replace(`"balancers":2`, `"Balancers":2`),
-		replace(`"balancers":2`, `"balancers":"2"`), replace(`"balancers":2`, `"balancers":2.5`), replace(`"balancers":2`, `"balancers":null`),
-		replace(`"balancers":2`, `"balancers":1,"balancers":2`), replace(`"limits":{`, `"limits":{"max_attempts":9},"limits":{`),
+	texts := []string{settingsText, " \n" + settingsText + "\t\n", settingsText + "x", settingsText + "{}",
+		"null", "[]", `""`, "7", "",
+		replace(`"profiles"`, `"PROFILES"`), replace(`"profiles"`, `"\u0070rofiles"`),
+		replace(`"balancers":2`, `"Balancers":2`),
+		replace(`"balancers":2`, `"balancers":"2"`), replace(`"balancers":2`, `"balancers":2.5`),
+		replace(`"balancers":2`, `"balancers":null`),
+		replace(`"balancers":2`, `"balancers":1,"balancers":2`),
+		replace(`"limits":{`, `"limits":{"max_attempts":9},"limits":{`),
 		replace(`"unknown_key":`, `"unknown_key":1e999,"x":`), replace(`"unknown_key":`, `"unknown_key":[[[{"a":[]}]]],"x":`),
 		replace(`"unknown_key":{`, `"unknown_key":{"profiles":[1],`), replace(`"unknown_key":{`, `"unknown_key":{1`),
-		replace(`"worth":1}]`, `"worth":1},null]`), replace(`"worth":1}]`, `"worth":1},]`), replace(`"worth":1}]`, `"worth":"1"}]`),
-		replace(`"worth":1}]`, `"worth":1}}`), replace(`"worth":1}]`, `"worth":1,"WORTH":2,"odd":[{}]}]`), replace(`[{"name":"c"`, `[{"name":7`),
+		replace(`"worth":1}]`, `"worth":1},null]`), replace(`"worth":1}]`, `"worth":1},]`),
+		replace(`"worth":1}]`, `"worth":"1"}]`),
+		replace(`"worth":1}]`, `"worth":1}}`), replace(`"worth":1}]`, `"worth":1,"WORTH":2,"odd":[{}]}]`),
+		replace(`[{"name":"c"`, `[{"name":7`),
 		replace(`"reporting"`, `"tenants":null,"reporting"`), replace(`"reporting"`, `"tenants":[],"reporting"`),
-		replace(`"reporting"`, `"tenants":{},"reporting"`), replace(`"reporting"`, `"tenants":[{"name":"\ud83d\ude00","quota_rps":1e2}],"reporting"`),
-		replace(`"reporting"`, `"tenants":[[]],"reporting"`), replace(`"reporting"`, `"tenants":[{"name":"t"},{"quota_rps":3}],"reporting"`)}
+		replace(`"reporting"`, `"tenants":{},"reporting"`),
+		replace(`"reporting"`, `"tenants":[{"name":"\ud83d\ude00","quota_rps":1e2}],"reporting"`),
+		replace(`"reporting"`, `"tenants":[[]],"reporting"`),
+		replace(`"reporting"`, `"tenants":[{"name":"t"},{"quota_rps":3}],"reporting"`)}
 	for n := range len(settingsText) { // truncated at each byte
 		texts = append(texts, settingsText[:n])
 	}
@@ -69,8 +77,11 @@
 		for _, x := range unmarshalled.Tenants {
 			want = append(want, fmt.Sprint(x.Name, x.Quota))
 		}
-		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel, s.Requirements.ColdCapacity, timeouts))
-		want = append(want, fmt.Sprint(unmarshalled.Zone, unmarshalled.Balancers, unmarshalled.Limits.MaxAttempts, unmarshalled.Limits.Cancel, unmarshalled.Requirements.ColdCapacity,
+		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel,
+			s.Requirements.ColdCapacity, timeouts))
+		want = append(want, fmt.Sprint(unmarshalled.Zone, unmarshalled.Balancers,
+			unmarshalled.Limits.MaxAttempts, unmarshalled.Limits.Cancel,
+			unmarshalled.Requirements.ColdCapacity,
 			ConnTimeouts{microseconds(unmarshalled.Limits.IdleTimeout), microseconds(unmarshalled.Limits.ConnectTimeout)}))
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s: decoded as %v, want %v", text, got, want)
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -36,10 +36,10 @@
 	EventMessage                     // inbox: its content is dropped
 )
 
-// Event is one event for one instance. Kind tells which fields are set besides Kind and Instance.
+// Event is one event for one balancer instance. Kind tells which fields are set besides Kind and Instance.
 type Event struct {
 	Kind     Kind
-	Instance int
+	Instance int                    // balancer_id
 	Seed     uint64                 // EventAttach
 	Settings garnettide.Settings    // EventAttach
 	Mode     garnettide.ListMode    // EventMembers
@@ -50,7 +50,7 @@
 	Token    uint64                 // EventTimer: token of Host.SetTimer
 }
 
-// Batch holds the events of one moment.
+// Batch holds the events that occur at one time.
 type Batch struct {
 	At     time.Duration // time on the simulator's clock
 	Serial uint64        // number of the batch, repeated in the reply
@@ -64,12 +64,12 @@
 // Reader reads batches of events. It must not be used by several goroutines at once.
 type Reader struct {
 	in         *bufio.Reader
-	line       int               // number of the last line read, from 1
-	longLine   []byte            // buffer for lines that exceed the buffer of in
-	interned   map[string]string // see intern
-	lists      [bankCount][]garnettide.Upstream
-	received   [bankCount]bool // banks that have been filled
-	lineFields fields          // fields of the current line
+	line       int                              // number of the last line read, from 1
+	longLine   []byte                           // buffer for lines that exceed the buffer of in
+	interned   map[string]string                // see intern
+	lists      [bankCount][]garnettide.Upstream // by bank
+	received   [bankCount]bool                  // banks that have been filled
+	lineFields fields                           // fields of the current line
 }
 
 // NewReader returns a Reader that reads from r.
@@ -177,7 +177,8 @@
 	case "verdict":
 		e.Kind = EventOutcome
 		e.Outcome = f.outcome()
-		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load = f.status("disposition"), f.boolean("over"), f.load("metrics")
+		e.Outcome.Status, e.Outcome.RequestDone, e.Outcome.Load =
+			f.status("disposition"), f.boolean("over"), f.load("metrics")
 	case "lapsed":
 		e.Kind = EventClientGone
 		e.Request.ID = garnettide.RequestID(f.hex("id", true))
@@ -225,7 +226,8 @@
 		if string(name) != "m" {
 			return fmt.Errorf("sheet: items=%d, but only %d entries follow", items, len(list))
 		}
-		u := garnettide.Upstream{ID: garnettide.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
+		u := garnettide.Upstream{ID: garnettide.UpstreamID(f.uint("upstream", 32, true)),
+			Cell: int(f.uint("block", 62, false)),
 			Zone: r.intern(f.text("region_part", false)), Weight: f.real("nominal", 1),
 			StartedAt: f.duration("came_up_us", false), State: f.state("availability")}
 		if f.err != nil {
@@ -352,7 +354,7 @@
 	return x, true
 }
 
-// duration returns a time that is given in microseconds and may be negative.
+// duration returns a duration that is given in microseconds and may be negative.
 func (f *fields) duration(name string, required bool) time.Duration {
 	v := f.text(name, required)
 	if v == nil {
@@ -412,7 +414,7 @@
 	return f.parseFloat(name, v)
 }
 
-// parseFloat parses a finite floating-point number and records an error under the name of a field.
+// parseFloat parses the value v of a field as a floating-point number, and records an error unless it is finite.
 func (f *fields) parseFloat(name string, v []byte) float64 {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
@@ -423,11 +425,12 @@
 
 // outcome returns the fields that established and verdict messages have in common.
 func (f *fields) outcome() garnettide.Outcome {
-	return garnettide.Outcome{ID: garnettide.RequestID(f.hex("id", true)), Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
-		Attempt: int(f.uint("go", 31, true)), Latency: f.duration("cost_time_us", true)}
+	return garnettide.Outcome{ID: garnettide.RequestID(f.hex("id", true)),
+		Upstream: garnettide.UpstreamID(f.uint("upstream", 32, true)),
+		Attempt:  int(f.uint("go", 31, true)), Latency: f.duration("cost_time_us", true)}
 }
 
-// mode returns a list mode.
+// mode returns a list mode from its letter.
 func (f *fields) mode(name string) garnettide.ListMode {
 	switch string(f.text(name, true)) {
 	case "D":
@@ -443,7 +446,7 @@
 	return 0
 }
 
-// state returns the state of an upstream.
+// state returns the state of an upstream from its name.
 func (f *fields) state(name string) garnettide.State {
 	switch string(f.text(name, true)) {
 	case "active":
@@ -457,7 +460,7 @@
 	return 0
 }
 
-// status returns the status of an attempt or a probe.
+// status returns the status of an attempt or a probe from its number.
 func (f *fields) status(name string) garnettide.Status {
 	switch x := f.uint(name, 31, true); x {
 	case 0:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,8 +9,8 @@
 	"garnettide"
 )
 
-// settingsJSON is the settings object without the arrays profiles and tenants. Field reads it, and ignores
-// other keys.
+// settingsJSON is the settings object without the arrays profiles and tenants. Durations are in microseconds.
+// Decoder.Field fills it.
 type settingsJSON struct {
 	Zone           string  `json:"az"`
 	Balancers      int     `json:"balancers"`
@@ -44,7 +44,7 @@
 	} `json:"reporting"`
 }
 
-// classJSON is an element of the array profiles.
+// classJSON is an element of the array profiles. Durations are in microseconds.
 type classJSON struct {
 	TotalTimeout int64   `json:"give_up_us"`
 	DedupScope   string  `json:"group"`
@@ -62,10 +62,10 @@
 		"idempotency_key": garnettide.IdempotentByKey, "non_idempotent": garnettide.NonIdempotent}
 	dedupScopeByName = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone,
 		"cell": garnettide.DedupCell}
-	weightKindByName = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
-		"rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
-	reportModeByName = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone, "piggyback": garnettide.ReportInResponses,
-		"pull": garnettide.ReportInProbes}
+	weightKindByName = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone,
+		"nominal": garnettide.WeightNominal, "rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
+	reportModeByName = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone,
+		"piggyback": garnettide.ReportInResponses, "pull": garnettide.ReportInProbes}
 	pollByMembershipMode = map[string]bool{"pushed": false, "on_request": true}
 )
 
@@ -88,7 +88,7 @@
 	ConnectTimeout time.Duration // a connection that is not established within this time has failed
 }
 
-// DecodeSettings decodes the settings object of an attach message. An error about a setting names it.
+// DecodeSettings decodes the settings object of an attach message as a whole. An error about a setting names it.
 func DecodeSettings(text []byte) (garnettide.Settings, ConnTimeouts, error) {
 	var classes []garnettide.Class
 	var tenants []garnettide.Tenant
@@ -109,8 +109,8 @@
 // Settings decodes the settings object of an attach message or of a load balancer's configuration. It
 // passes each class and tenant to addClass and addTenant instead of returning them in s. An error about a
 // setting names it.
-func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (s garnettide.Settings,
-	timeouts ConnTimeouts, err error) {
+func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (
+	s garnettide.Settings, timeouts ConnTimeouts, err error) {
 	var parsed settingsJSON
 	seen := map[string]bool{}
 	if err := d.Object(func(key string) error {
@@ -134,14 +134,18 @@
 	}
 	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = parsed.Zone, parsed.Balancers, parsed.Rank, parsed.OverQuota
 	s.WorthByWork, s.Granularity = parsed.WorthBy == "work", microseconds(parsed.Granularity)
-	s.Limits = garnettide.Limits{Cancel: parsed.Limits.Cancel, Probes: parsed.Limits.Probes, Hedging: parsed.Limits.Hedging,
-		RetryAfter: parsed.Limits.RetryAfter, MaxRetryAfter: microseconds(parsed.Limits.MaxRetryAfter), MaxAttempts: parsed.Limits.MaxAttempts}
-	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: microseconds(parsed.Requirements.MaxDiscoveryInterval),
-		ColdCapacity: parsed.Requirements.ColdCapacity, WarmupTime: microseconds(parsed.Requirements.WarmupTime),
+	s.Limits = garnettide.Limits{Cancel: parsed.Limits.Cancel, Probes: parsed.Limits.Probes,
+		Hedging:    parsed.Limits.Hedging,
+		RetryAfter: parsed.Limits.RetryAfter, MaxRetryAfter: microseconds(parsed.Limits.MaxRetryAfter),
+		MaxAttempts: parsed.Limits.MaxAttempts}
+	s.Requirements = garnettide.Requirements{
+		MaxDiscoveryInterval: microseconds(parsed.Requirements.MaxDiscoveryInterval),
+		ColdCapacity:         parsed.Requirements.ColdCapacity, WarmupTime: microseconds(parsed.Requirements.WarmupTime),
 		OverloadFactor: parsed.Requirements.OverloadFactor, OverloadWindow: microseconds(parsed.Requirements.OverloadWindow),
 		DrainGrace:  microseconds(parsed.Requirements.DrainGrace),
 		AnswerSlack: microseconds(parsed.Requirements.Slack)}
-	timeouts = ConnTimeouts{IdleTimeout: microseconds(parsed.Limits.IdleTimeout), ConnectTimeout: microseconds(parsed.Limits.ConnectTimeout)}
+	timeouts = ConnTimeouts{IdleTimeout: microseconds(parsed.Limits.IdleTimeout),
+		ConnectTimeout: microseconds(parsed.Limits.ConnectTimeout)}
 	var ok bool
 	if s.PollDiscovery, ok = pollByMembershipMode[parsed.MembershipMode]; !ok {
 		return s, timeouts, fmt.Errorf("settings: membership_mode: unknown value %q", parsed.MembershipMode)
@@ -161,7 +165,8 @@
 	if err := d.Decode(&p); err != nil {
 		return fmt.Errorf("%q: %w", p.Name, unexpectedEOF(err))
 	}
-	c := garnettide.Class{Name: p.Name, LatencyTarget: microseconds(p.Target), Deadline: microseconds(p.TotalTimeout), DedupWindow: microseconds(p.DedupWindow),
+	c := garnettide.Class{Name: p.Name, LatencyTarget: microseconds(p.Target),
+		Deadline: microseconds(p.TotalTimeout), DedupWindow: microseconds(p.DedupWindow),
 		Worth: p.Worth, LateWorth: p.LateWorth}
 	var ok bool
 	if c.Idempotency, ok = idempotencyByName[p.Idempotency]; !ok {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -39,16 +39,24 @@
 		{"invalid id", frame + "lapsed balancer_id=1 id=12\neob\n", "field id: \"12\" is not 16 hexadecimal digits"},
 		{"invalid number", frame + "elapsed balancer_id=1 ctx=x\neob\n", "field ctx"},
 		{"number out of range", frame + "elapsed balancer_id=1 ctx=9223372036854775808\neob\n", "field ctx"},
-		{"invalid boolean", frame + "inbound balancer_id=1 id=00000000000000ff budget_us=1 class=c retry=2\neob\n", "field retry"},
+		{"invalid boolean", frame + "inbound balancer_id=1 id=00000000000000ff budget_us=1 class=c retry=2\neob\n",
+			"field retry"},
 		{"unknown status", frame + "health balancer_id=1 upstream=1 disposition=7 cost_time_us=1\neob\n", "unknown status 7"},
-		{"invalid load report", frame + "health balancer_id=1 upstream=1 disposition=0 cost_time_us=1 metrics=load_share\neob\n", "field metrics"},
+		{"invalid load report",
+			frame + "health balancer_id=1 upstream=1 disposition=0 cost_time_us=1 metrics=load_share\neob\n",
+			"field metrics"},
 		{"unknown list mode", frame + "endpoints balancer_id=1 mode=Q rev=1 bank=0\neob\n", "field mode"},
 		{"empty bank", frame + "endpoints balancer_id=1 mode=F rev=1 bank=3\neob\n", "field bank"},
-		{"unknown upstream state", frame + "sheet bank=0 items=1\nm upstream=1 availability=up\neob\n", "line 3: m: field availability"},
-		{"fewer entries than items", frame + "sheet bank=0 items=2\nm upstream=1 availability=active\neob\n", "items=2, but only 1 entries follow"},
+		{"unknown upstream state", frame + "sheet bank=0 items=1\nm upstream=1 availability=up\neob\n",
+			"line 3: m: field availability"},
+		{"fewer entries than items", frame + "sheet bank=0 items=2\nm upstream=1 availability=active\neob\n",
+			"items=2, but only 1 entries follow"},
 		{"bank out of range", frame + "sheet bank=16 items=0\neob\n", "field bank"},
 		{"invalid settings", frame + "attach balancer_id=1 random_seed=1 params={\neob\n", "field params"},
-		{"unknown repeat", frame + "attach balancer_id=1 random_seed=1 params=" + strings.Replace(settingsText, "non_idempotent", "never", 1) + "\neob\n", `repeat: unknown value "never"`},
+		{"unknown repeat",
+			frame + "attach balancer_id=1 random_seed=1 params=" +
+				strings.Replace(settingsText, "non_idempotent", "never", 1) + "\neob\n",
+			`repeat: unknown value "never"`},
 		{"field without value", frame + "exit balancer_id\neob\n", "not name=value"},
 		{"missing eob", frame + "exit balancer_id=1\n", "without eob"},
 		{"truncated line", frame + "exit balan", "line 2: no newline at the end of the input"},
@@ -76,15 +84,18 @@
 	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
 		t.Errorf("list %s, want %s, the content of the bank when the event was read", got, want)
 	}
-	request := garnettide.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
+	request := garnettide.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c",
+		Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
 	if b.Events[2].Request != request {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
 	outcome := b.Events[3].Outcome
-	if outcome.Attempt != 1 || outcome.Status != garnettide.Rejected || outcome.RequestDone || outcome.Load.Util != 0.62 || outcome.Load.Fields != garnettide.HasUtil|garnettide.HasErrorRate {
+	if outcome.Attempt != 1 || outcome.Status != garnettide.Rejected || outcome.RequestDone ||
+		outcome.Load.Util != 0.62 || outcome.Load.Fields != garnettide.HasUtil|garnettide.HasErrorRate {
 		t.Errorf("outcome %+v", outcome)
 	}
-	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != garnettide.NonIdempotent || s.Requirements.OverloadFactor != 3 {
+	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Idempotency != garnettide.NonIdempotent ||
+		s.Requirements.OverloadFactor != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -52,9 +52,10 @@
 // endAction ends the line of an action.
 func (iw *InstanceWriter) endAction() { iw.reply.buf = append(iw.reply.buf, '\n') }
 
-// The following methods add one field. Their argument name has a space in front and an equals sign at the
-// end.
+// The following methods add one field. Their argument name includes the space before the name and the equals
+// sign after it.
 
+// number adds x as a decimal number.
 func (iw *InstanceWriter) number(name string, x uint64) {
 	iw.reply.buf = append(iw.reply.buf, name...)
 	iw.reply.buf = strconv.AppendUint(iw.reply.buf, x, 10)
@@ -162,7 +163,7 @@
 	iw.endAction()
 }
 
-// Crash writes a crash action, which reports that the instance has failed.
+// Crash writes a crash action, which reports why the instance has failed.
 func (iw *InstanceWriter) Crash(text string) {
 	iw.beginAction("crash")
 	iw.text(" note_text=", text)
--- a/settings.go
+++ b/settings.go
@@ -30,8 +30,9 @@
 	maxDeadline    time.Duration      // longest deadline of a class
 }
 
-// NewPlan checks settings and returns a plan, or an error that names an invalid setting and wraps ErrInvalidSettings. It
-// calls yield after each class and tenant, so that a caller can pause during long lists. It may run on any goroutine.
+// NewPlan checks settings and returns a plan, or an error that names an invalid setting and wraps
+// ErrInvalidSettings. It calls yield after each class and tenant, so that a caller can pause during long lists. It may
+// run on any goroutine.
 func NewPlan(s Settings, yield func()) (*Plan, error) {
 	b := NewPlanBuilder()
 	for _, c := range s.Classes {
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// Plan returns the plan with the other settings of s, or an error that names an invalid one. It ignores the classes and
-// tenants of s. The builder must not be used afterwards.
+// Plan returns a plan with the added classes and tenants and the other settings of s, or an error that names an invalid
+// setting. It ignores the classes and tenants of s. The builder must not be used afterwards.
 func (b *PlanBuilder) Plan(s Settings) (*Plan, error) {
 	if len(b.plan.classes) == 0 {
 		return nil, invalidSetting("Classes is missing or out of range")
@@ -174,7 +175,8 @@
 		{"Requirements.WarmupTime", r.WarmupTime > 0},
 		{"Requirements.OverloadFactor", finiteNonNegative(r.OverloadFactor) && r.OverloadFactor > 0},
 		{"Requirements.ColdCapacity", r.ColdCapacity > 0 && r.ColdCapacity <= 1},
-		{"Requirements.MaxDiscoveryInterval", r.MaxDiscoveryInterval > 0 || (r.MaxDiscoveryInterval == 0 && !s.PollDiscovery)},
+		{"Requirements.MaxDiscoveryInterval",
+			r.MaxDiscoveryInterval > 0 || (r.MaxDiscoveryInterval == 0 && !s.PollDiscovery)},
 	} {
 		if !x.ok {
 			return invalidSetting("%s is missing or out of range", x.name)
@@ -204,7 +206,8 @@
 
 // Invalid values in events are replaced rather than rejected, to keep them out of running means.
 
-// sanitized returns l without values that are negative, not finite or larger than math.MaxInt32.
+// sanitised returns l without values that are negative, not finite or larger than math.MaxInt32. The order of the
+// values is that of the bits of LoadField.
 func (l Load) sanitised() Load {
 	for i, x := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.ServiceTime, &l.RequestRate, &l.ErrorRate} {
 		if !finiteNonNegative(*x) || *x > math.MaxInt32 {
@@ -214,13 +217,13 @@
 	return l
 }
 
-// sanitized returns o with a latency of at least 1 ns and a sanitized load.
+// sanitised returns o with a latency of at least 1 ns and a sanitised load.
 func (o Outcome) sanitised() Outcome {
 	o.Latency, o.Load = max(o.Latency, 1), o.Load.sanitised()
 	return o
 }
 
-// sanitized returns u with a weight of 1 if its weight is not finite, not greater than zero or larger than
+// sanitised returns u with a weight of 1 if its weight is not finite, not greater than zero or larger than
 // math.MaxInt32.
 func (u Upstream) sanitised() Upstream {
 	if !finiteNonNegative(u.Weight) || u.Weight == 0 || u.Weight > math.MaxInt32 {
--- a/slowstart.go
+++ b/slowstart.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	coldBudgetShare  = 0.6 // used share of the load that overloads a cold upstream
-	coldBudgetMaxUse = 0.9 // assumed greatest use of their budgets by the balancers that share a cold upstream
+	coldBudgetShare  = 0.6 // share of the load that overloads a cold upstream which may be sent to it
+	coldBudgetMaxUse = 0.9 // assumed share of their budgets that the balancers of a cold upstream use at most
 )
 
 // warmupFraction returns the fraction of its full capacity that u is sure to have. It clears u.cold after
@@ -20,7 +20,7 @@
 	return 1
 }
 
-// markCold treats u as started at a time, and resets its statistics and its limit.
+// markCold marks u as cold since a time, and resets its statistics and its limit.
 func (b *Balancer) markCold(u *upstream, since time.Duration) {
 	u.cold, u.coldSince, u.latency, u.latencyDev, u.workUnits, u.smoothedLatency = true, since, 0, 0, 0, 0
 	u.readings, u.utilMean, u.utilDev, u.bandArea, u.limit, u.minLatency, u.baselineLatency =
--- a/state.go
+++ b/state.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	quotaDevs       = 2.0             // standard deviations of a second's requests, as random arrivals, that may exceed a quota
+	quotaDevs       = 2.0             // excess over a quota: standard deviations of a second's random arrivals
 	budgetTolerance = 16              // a budget within 1/budgetTolerance of the usual one counts as equal
-	maxBudgetVotes  = 64              // most votes for the usual budget, which other budgets have to outvote
+	maxBudgetVotes  = 64              // most votes for the usual budget; other budgets have to outvote them
 	removalsPerTick = 256             // names that are forgotten in a tick, for each pending change of settings
 	logInterval     = 5 * time.Second // smallest interval between log lines of one kind
 )
@@ -65,7 +65,7 @@
 }
 
 // observeBudget counts the budget of a request and reports whether it is the usual one, which is found by a
-// majority vote with a bounded count. The longest budget would not do, as a client's last try may have the
+// majority vote with a bounded count. The longest budget is not used, as a client's last try may have the
 // whole rest of its deadline.
 func (c *classStatistics) observeBudget(budget time.Duration) bool {
 	if c.votes == 0 {
@@ -84,7 +84,7 @@
 	req             *request
 	up              *upstream
 	sentAt          time.Duration
-	ended, neverRan bool
+	ended, neverRan bool // the Outcome has come; it proves that the request was not executed
 	overtakes       int  // later attempts at the upstream that were answered first
 	lost            bool // no answer is expected any more
 	responseStarted bool // the answer is being passed on to the client
@@ -99,7 +99,7 @@
 	sendBy, deadline          time.Duration // latest time to leave the queue; end of the client's wait
 	attempts                  []*attempt
 	attemptsInFlight          int
-	done, queued              bool
+	done, queued              bool // needs no further attempts; is in Balancer.queued
 	overQuota                 bool
 	bodyPending, bodyConsumed bool // the body is still arriving; it is gone, so that it cannot be sent again
 }
@@ -108,10 +108,10 @@
 // units of a mean request.
 type upstream struct {
 	Upstream
-	cold, unresponsive                    bool
+	cold, unresponsive                    bool // in slow start; gets trial requests only
 	inSubset                              bool
-	ringHash                              uint64 // position on the hash ring
-	coldSince, nextTrialAt                time.Duration
+	ringHash                              uint64        // position on the hash ring
+	coldSince, nextTrialAt                time.Duration // start of the slow start; next trial while unresponsive
 	lastAnswerAt, limitCutAt, lastProbeAt time.Duration
 	pausedUntil                           time.Duration // gets no requests before
 	maintenanceEndedAt                    time.Duration
@@ -120,7 +120,7 @@
 	backoff                               time.Duration // wait after the next trial or failed connection
 
 	// Share and utilisation.
-	nextTurn                    float64 // time of its next turn, in the virtual time of the interleave
+	nextTurn                    float64 // its next turn in the round robin, in virtual time
 	weight, shareFactor         float64 // weight from discovery; share left after cuts
 	utilWindow                  [bandWindow]float64
 	readings                    int           // number of readings so far
@@ -172,9 +172,9 @@
 	inUse           []*upstream         // the subset, and former members that have attempts in flight
 	inMaintenance   map[UpstreamID]bool // listed or not
 	mayMissChanges  bool                // the watch may have missed changes
-	listUnconfirmed bool                // no list from discovery since the start or the last failure
+	listUnconfirmed bool                // the latest list is from a cache, or discovery has failed or moved since
 	queued          []*request          // highest worth first, then newest first
-	virtualTime     float64             // of the interleave
+	virtualTime     float64             // of the round robin
 
 	// Statistics of all upstreams.
 	latency, meanCost           float64 // running means: latency in nanoseconds, cost hint in nanoseconds
@@ -187,9 +187,10 @@
 	trafficShare                float64 // share of the subset's traffic that comes from this balancer; 0: unknown
 	quotaShare                  float64 // share of the whole traffic; 0: unknown
 
+	// Times. discoveryBackoff is the wait after a failed call of discovery; lastLogged is by kind of log line.
 	tickInterval, periodStart, discoveryBackoff time.Duration
 	discoveryCalledAt                           time.Duration // start of the last call, or time of the last list
-	lastQueuedAt                                time.Duration // last time that no upstream could take a request
+	lastQueuedAt                                time.Duration // when a request was last queued; at first, the start
 	lastLogged                                  map[string]time.Duration
 }
 
@@ -261,8 +262,8 @@
 	return quota * max(b.quotaShare, 1/float64(b.config.Balancers))
 }
 
-// overQuota counts r for its tenant and reports whether it is over the tenant's quota. Without a quota it
-// is not.
+// overQuota reports whether r exceeds the quota of its tenant, and counts it if it does not. A request of a
+// tenant without a quota exceeds none.
 func (b *Balancer) overQuota(r *request, now time.Duration) bool {
 	quota, ok := b.plan.tenants[r.Tenant]
 	if !ok {
@@ -275,15 +276,15 @@
 	return r.tenant.overQuota(now, b.localQuota(quota))
 }
 
-// hashID hashes x. The hash is the same for all balancers, and makes the order of the ring independent of
-// the numbering.
+// hashID hashes an upstream's id to its position on the ring. The hash is the same for all balancers, and makes
+// the order of the ring independent of the numbering.
 func hashID(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return x ^ x>>32
 }
 
-// updateMean adds a sample to an exponential moving average. The first sample sets it.
+// updateMean adds a sample to an exponential moving average. A sample replaces an average of 0.
 func updateMean(mean *float64, sample, weight float64) {
 	if *mean == 0 {
 		*mean = sample
--- a/subset.go
+++ b/subset.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	balancersPerUpstream = 4.0 // balancers that share an upstream, if there are that many
+	balancersPerUpstream = 4.0 // balancers that use each upstream, if there are that many
 	minSubsetSize        = 2   // smallest number of upstreams that a balancer uses
 )
 
