--- a/internal/wire/decode_test.go
+++ b/internal/wire/decode_test.go
@@ -26,28 +26,36 @@
 		}
 		return strings.Replace(settingsText, old, new, 1)
 	}
-	texts := []string{settingsText, " \n" + settingsText + "\t\n", settingsText + "x", settingsText + "{}", "null", "[]", `""`, "7", "",
-		replace(`"profiles"`, `"PROFILES"`), replace(`"profiles"`, `"\u0070rofiles"`), replace(`"balancers":2`, `"Balancers":2`),
-		replace(`"balancers":2`, `"balancers":"2"`), replace(`"balancers":2`, `"balancers":2.5`), replace(`"balancers":2`, `"balancers":null`),
-		replace(`"balancers":2`, `"balancers":1,"balancers":2`), replace(`"limits":{`, `"limits":{"max_attempts":9},"limits":{`),
+	texts := []string{settingsText, " \n" + settingsText + "\t\n", settingsText + "x", settingsText + "{}",
+		"null", "[]", `""`, "7", "",
+		replace(`"profiles"`, `"PROFILES"`), replace(`"profiles"`, `"\u0070rofiles"`),
+		replace(`"balancers":2`, `"Balancers":2`),
+		replace(`"balancers":2`, `"balancers":"2"`), replace(`"balancers":2`, `"balancers":2.5`),
+		replace(`"balancers":2`, `"balancers":null`),
+		replace(`"balancers":2`, `"balancers":1,"balancers":2`),
+		replace(`"limits":{`, `"limits":{"max_attempts":9},"limits":{`),
 		replace(`"unknown_key":`, `"unknown_key":1e999,"x":`), replace(`"unknown_key":`, `"unknown_key":[[[{"a":[]}]]],"x":`),
 		replace(`"unknown_key":{`, `"unknown_key":{"profiles":[1],`), replace(`"unknown_key":{`, `"unknown_key":{1`),
-		replace(`"worth":1}]`, `"worth":1},null]`), replace(`"worth":1}]`, `"worth":1},]`), replace(`"worth":1}]`, `"worth":"1"}]`),
-		replace(`"worth":1}]`, `"worth":1}}`), replace(`"worth":1}]`, `"worth":1,"WORTH":2,"odd":[{}]}]`), replace(`[{"name":"c"`, `[{"name":7`),
+		replace(`"worth":1}]`, `"worth":1},null]`), replace(`"worth":1}]`, `"worth":1},]`),
+		replace(`"worth":1}]`, `"worth":"1"}]`),
+		replace(`"worth":1}]`, `"worth":1}}`), replace(`"worth":1}]`, `"worth":1,"WORTH":2,"odd":[{}]}]`),
+		replace(`[{"name":"c"`, `[{"name":7`),
 		replace(`"reporting"`, `"tenants":null,"reporting"`), replace(`"reporting"`, `"tenants":[],"reporting"`),
-		replace(`"reporting"`, `"tenants":{},"reporting"`), replace(`"reporting"`, `"tenants":[{"name":"\ud83d\ude00","quota_rps":1e2}],"reporting"`),
-		replace(`"reporting"`, `"tenants":[[]],"reporting"`), replace(`"reporting"`, `"tenants":[{"name":"t"},{"quota_rps":3}],"reporting"`)}
+		replace(`"reporting"`, `"tenants":{},"reporting"`),
+		replace(`"reporting"`, `"tenants":[{"name":"\ud83d\ude00","quota_rps":1e2}],"reporting"`),
+		replace(`"reporting"`, `"tenants":[[]],"reporting"`),
+		replace(`"reporting"`, `"tenants":[{"name":"t"},{"quota_rps":3}],"reporting"`)}
 	for n := range len(settingsText) { // truncated at each byte
 		texts = append(texts, settingsText[:n])
 	}
 	accepted := 0
 	for _, text := range texts {
 		s, timeouts, err := DecodeSettings([]byte(text))
-		var m unmarshalledSettings
-		unmarshalErr := json.Unmarshal([]byte(text), &m)
-		_, knownMode := pollByMembershipMode[m.MembershipMode]
+		var unmarshalled unmarshalledSettings
+		unmarshalErr := json.Unmarshal([]byte(text), &unmarshalled)
+		_, knownMode := pollByMembershipMode[unmarshalled.MembershipMode]
 		allNonIdempotent := true
-		for _, p := range m.Profiles {
+		for _, p := range unmarshalled.Profiles {
 			allNonIdempotent = allNonIdempotent && p.Idempotency == "non_idempotent"
 		}
 		if valid := unmarshalErr == nil && knownMode && allNonIdempotent; valid != (err == nil) {
@@ -60,18 +68,21 @@
 		for _, c := range s.Classes {
 			got = append(got, fmt.Sprint(c.Name, c.Worth, c.LatencyTarget, c.Deadline))
 		}
-		for _, p := range m.Profiles {
+		for _, p := range unmarshalled.Profiles {
 			want = append(want, fmt.Sprint(p.Name, p.Worth, microseconds(p.Target), microseconds(p.TotalTimeout)))
 		}
 		for _, x := range s.Tenants {
 			got = append(got, fmt.Sprint(x.Name, x.Quota))
 		}
-		for _, x := range m.Tenants {
+		for _, x := range unmarshalled.Tenants {
 			want = append(want, fmt.Sprint(x.Name, x.Quota))
 		}
-		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel, s.Requirements.ColdCapacity, timeouts))
-		want = append(want, fmt.Sprint(m.Zone, m.Balancers, m.Limits.MaxAttempts, m.Limits.Cancel, m.Requirements.ColdCapacity,
-			ConnTimeouts{microseconds(m.Limits.IdleTimeout), microseconds(m.Limits.ConnectTimeout)}))
+		got = append(got, fmt.Sprint(s.Zone, s.Balancers, s.Limits.MaxAttempts, s.Limits.Cancel,
+			s.Requirements.ColdCapacity, timeouts))
+		want = append(want, fmt.Sprint(unmarshalled.Zone, unmarshalled.Balancers,
+			unmarshalled.Limits.MaxAttempts, unmarshalled.Limits.Cancel,
+			unmarshalled.Requirements.ColdCapacity,
+			ConnTimeouts{microseconds(unmarshalled.Limits.IdleTimeout), microseconds(unmarshalled.Limits.ConnectTimeout)}))
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Errorf("%s: decoded as %v, want %v", text, got, want)
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,8 +9,8 @@
 	"garnettide"
 )
 
-// settingsJSON is the settings object without the arrays profiles and tenants. Field reads it, and ignores
-// other keys.
+// settingsJSON is the settings object without the arrays profiles and tenants. Durations are in microseconds.
+// Decoder.Field fills it.
 type settingsJSON struct {
 	Zone           string  `json:"az"`
 	Balancers      int     `json:"balancers"`
@@ -44,7 +44,7 @@
 	} `json:"reporting"`
 }
 
-// classJSON is an element of the array profiles.
+// classJSON is an element of the array profiles. Durations are in microseconds.
 type classJSON struct {
 	TotalTimeout int64   `json:"give_up_us"`
 	DedupScope   string  `json:"group"`
@@ -62,10 +62,10 @@
 		"idempotency_key": garnettide.IdempotentByKey, "non_idempotent": garnettide.NonIdempotent}
 	dedupScopeByName = map[string]garnettide.DedupScope{"all": garnettide.DedupAll, "zone": garnettide.DedupZone,
 		"cell": garnettide.DedupCell}
-	weightKindByName = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone, "nominal": garnettide.WeightNominal,
-		"rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
-	reportModeByName = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone, "piggyback": garnettide.ReportInResponses,
-		"pull": garnettide.ReportInProbes}
+	weightKindByName = map[string]garnettide.WeightKind{"silent": garnettide.WeightNone,
+		"nominal": garnettide.WeightNominal, "rough": garnettide.WeightApproximate, "live": garnettide.WeightLoadAdjusted}
+	reportModeByName = map[string]garnettide.ReportMode{"silent": garnettide.ReportNone,
+		"piggyback": garnettide.ReportInResponses, "pull": garnettide.ReportInProbes}
 	pollByMembershipMode = map[string]bool{"pushed": false, "on_request": true}
 )
 
@@ -88,7 +88,7 @@
 	ConnectTimeout time.Duration // a connection that is not established within this time has failed
 }
 
-// DecodeSettings decodes the settings object of an attach message. An error about a setting names it.
+// DecodeSettings decodes the settings object of an attach message as a whole. An error about a setting names it.
 func DecodeSettings(text []byte) (garnettide.Settings, ConnTimeouts, error) {
 	var classes []garnettide.Class
 	var tenants []garnettide.Tenant
@@ -109,9 +109,9 @@
 // Settings decodes the settings object of an attach message or of a load balancer's configuration. It
 // passes each class and tenant to addClass and addTenant instead of returning them in s. An error about a
 // setting names it.
-func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (s garnettide.Settings,
-	timeouts ConnTimeouts, err error) {
-	var p settingsJSON
+func (d *Decoder) Settings(addClass func(garnettide.Class) error, addTenant func(garnettide.Tenant) error) (
+	s garnettide.Settings, timeouts ConnTimeouts, err error) {
+	var parsed settingsJSON
 	seen := map[string]bool{}
 	if err := d.Object(func(key string) error {
 		listKey := strings.ToLower(key)
@@ -120,7 +120,7 @@
 			"tenants":  func() error { return d.addTenant(addTenant) },
 		}[listKey]
 		if decodeElement == nil {
-			return d.Field(key, &p)
+			return d.Field(key, &parsed)
 		} else if seen[listKey] {
 			return fmt.Errorf("%s is set twice", listKey)
 		}
@@ -132,25 +132,29 @@
 	}); err != nil {
 		return s, timeouts, fmt.Errorf("settings: %w", err)
 	}
-	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = p.Zone, p.Balancers, p.Rank, p.OverQuota
-	s.WorthByWork, s.Granularity = p.WorthBy == "work", microseconds(p.Granularity)
-	s.Limits = garnettide.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, Hedging: p.Limits.Hedging,
-		RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: microseconds(p.Limits.MaxRetryAfter), MaxAttempts: p.Limits.MaxAttempts}
-	s.Requirements = garnettide.Requirements{MaxDiscoveryInterval: microseconds(p.Requirements.MaxDiscoveryInterval),
-		ColdCapacity: p.Requirements.ColdCapacity, WarmupTime: microseconds(p.Requirements.WarmupTime),
-		OverloadFactor: p.Requirements.OverloadFactor, OverloadWindow: microseconds(p.Requirements.OverloadWindow),
-		DrainGrace:  microseconds(p.Requirements.DrainGrace),
-		AnswerSlack: microseconds(p.Requirements.Slack)}
-	timeouts = ConnTimeouts{IdleTimeout: microseconds(p.Limits.IdleTimeout), ConnectTimeout: microseconds(p.Limits.ConnectTimeout)}
+	s.Zone, s.Balancers, s.Rank, s.OverQuotaWorth = parsed.Zone, parsed.Balancers, parsed.Rank, parsed.OverQuota
+	s.WorthByWork, s.Granularity = parsed.WorthBy == "work", microseconds(parsed.Granularity)
+	s.Limits = garnettide.Limits{Cancel: parsed.Limits.Cancel, Probes: parsed.Limits.Probes,
+		Hedging:    parsed.Limits.Hedging,
+		RetryAfter: parsed.Limits.RetryAfter, MaxRetryAfter: microseconds(parsed.Limits.MaxRetryAfter),
+		MaxAttempts: parsed.Limits.MaxAttempts}
+	s.Requirements = garnettide.Requirements{
+		MaxDiscoveryInterval: microseconds(parsed.Requirements.MaxDiscoveryInterval),
+		ColdCapacity:         parsed.Requirements.ColdCapacity, WarmupTime: microseconds(parsed.Requirements.WarmupTime),
+		OverloadFactor: parsed.Requirements.OverloadFactor, OverloadWindow: microseconds(parsed.Requirements.OverloadWindow),
+		DrainGrace:  microseconds(parsed.Requirements.DrainGrace),
+		AnswerSlack: microseconds(parsed.Requirements.Slack)}
+	timeouts = ConnTimeouts{IdleTimeout: microseconds(parsed.Limits.IdleTimeout),
+		ConnectTimeout: microseconds(parsed.Limits.ConnectTimeout)}
 	var ok bool
-	if s.PollDiscovery, ok = pollByMembershipMode[p.MembershipMode]; !ok {
-		return s, timeouts, fmt.Errorf("settings: membership_mode: unknown value %q", p.MembershipMode)
+	if s.PollDiscovery, ok = pollByMembershipMode[parsed.MembershipMode]; !ok {
+		return s, timeouts, fmt.Errorf("settings: membership_mode: unknown value %q", parsed.MembershipMode)
 	}
-	if s.Weights, ok = weightKindByName[p.Weights]; !ok {
-		return s, timeouts, fmt.Errorf("settings: weights: unknown value %q", p.Weights)
+	if s.Weights, ok = weightKindByName[parsed.Weights]; !ok {
+		return s, timeouts, fmt.Errorf("settings: weights: unknown value %q", parsed.Weights)
 	}
-	if s.Reports, ok = reportModeByName[p.Reporting.Via]; !ok {
-		return s, timeouts, fmt.Errorf("settings: reporting.via: unknown value %q", p.Reporting.Via)
+	if s.Reports, ok = reportModeByName[parsed.Reporting.Via]; !ok {
+		return s, timeouts, fmt.Errorf("settings: reporting.via: unknown value %q", parsed.Reporting.Via)
 	}
 	return s, timeouts, nil
 }
@@ -161,7 +165,8 @@
 	if err := d.Decode(&p); err != nil {
 		return fmt.Errorf("%q: %w", p.Name, unexpectedEOF(err))
 	}
-	c := garnettide.Class{Name: p.Name, LatencyTarget: microseconds(p.Target), Deadline: microseconds(p.TotalTimeout), DedupWindow: microseconds(p.DedupWindow),
+	c := garnettide.Class{Name: p.Name, LatencyTarget: microseconds(p.Target),
+		Deadline: microseconds(p.TotalTimeout), DedupWindow: microseconds(p.DedupWindow),
 		Worth: p.Worth, LateWorth: p.LateWorth}
 	var ok bool
 	if c.Idempotency, ok = idempotencyByName[p.Idempotency]; !ok {
