--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -100,15 +100,15 @@
 	var c Config
 	var f configFile
 	var settings garnettide.Settings
-	var plan *garnettide.PlanBuilder
+	var builder *garnettide.PlanBuilder
 	d := wire.NewDecoder(text, slicer.step)
 	err := d.Object(func(key string) (err error) {
 		switch {
 		case strings.EqualFold(key, "known"):
 			err = decodeKnown(d, &c.CachedList)
 		case strings.EqualFold(key, "settings"):
-			plan = garnettide.NewPlanBuilder()
-			settings, c.ConnTimeouts, err = d.Settings(plan.AddClass, plan.AddTenant)
+			builder = garnettide.NewPlanBuilder()
+			settings, c.ConnTimeouts, err = d.Settings(builder.AddClass, builder.AddTenant)
 		default:
 			err = d.Field(key, &f)
 		}
@@ -124,13 +124,13 @@
 	if err := f.validateInto(&c); err != nil {
 		return c, err
 	}
-	if plan == nil {
+	if builder == nil {
 		return c, errors.New("settings are missing")
 	}
 	if c.ConnTimeouts.IdleTimeout <= 0 || c.ConnTimeouts.ConnectTimeout <= 0 {
 		return c, errors.New("settings: limits: keepalive_us and connect_timeout_us must be greater than zero")
 	}
-	if c.Plan, err = plan.Plan(settings); err != nil {
+	if c.Plan, err = builder.Plan(settings); err != nil {
 		return c, fmt.Errorf("settings: %w", err)
 	}
 	return c, nil
@@ -199,17 +199,17 @@
 
 func (c *Config) maxUpstreamConns() int { return c.Sockets / 3 }
 func (c *Config) maxClientConns() int {
-	return c.Sockets - c.maxUpstreamConns() - max(c.Sockets/16, 16) - c.adminConns()
+	return c.Sockets - c.maxUpstreamConns() - max(c.Sockets/16, 16) - c.adminSockets()
 }
 
 // adminConns returns the number of sockets for the admin listener and its connections.
-func (c *Config) adminConns() int {
+func (c *Config) adminSockets() int {
 	if c.Operator == "" {
 		return 0
 	}
-	return 1 + adminConns
+	return 1 + maxAdminConns
 }
 
 // bodyMemory returns how many bytes of bodies may be buffered at once. The rest of the memory is for the
 // program, its connections and garbage.
-func (c *Config) bodyMemory() int64 { return int64(c.MemoryMB) << 20 / 4 }
+func (c *Config) bodyMemoryLimit() int64 { return int64(c.MemoryMB) << 20 / 4 }
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -167,7 +167,7 @@
 type discoveryClient struct {
 	address      string
 	url          string
-	client       *http.Client
+	httpClient   *http.Client
 	dial         func(ctx context.Context, network, address string) (net.Conn, error)
 	ctx          context.Context // ends all calls
 	cancel       context.CancelFunc
@@ -186,7 +186,7 @@
 func newDiscoveryClient(ctx context.Context, address string, post func(listUpdate)) *discoveryClient {
 	d := &discoveryClient{address: address, url: "http://" + address + "/v1/servers", post: post,
 		dial: (&net.Dialer{}).DialContext}
-	d.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: d.connect}}
+	d.httpClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: d.connect}}
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	return d
 }
@@ -201,7 +201,7 @@
 // shutdown ends all calls and closes the connections.
 func (d *discoveryClient) shutdown() {
 	d.cancel()
-	d.client.CloseIdleConnections()
+	d.httpClient.CloseIdleConnections()
 }
 
 // errWatchSilent reports that a watch call was not answered in time.
@@ -264,7 +264,7 @@
 	if err != nil {
 		return list, fmt.Errorf("discovery: %w", err)
 	}
-	resp, err := d.client.Do(req)
+	resp, err := d.httpClient.Do(req)
 	if err != nil {
 		return list, fmt.Errorf("discovery: %w", err)
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -27,7 +27,7 @@
 	heard, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
 	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(x listUpdate) { heard <- x })
 	defer d.shutdown()
-	d.client.Transport = &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
+	d.httpClient.Transport = &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
 		go func() {
 			if r, err := http.ReadRequest(bufio.NewReader(theirs)); err == nil {
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -66,11 +66,11 @@
 
 // clientResponse is the one response to a client's request.
 type clientResponse struct {
-	status      int
-	body        []byte
-	contentType string
-	retryAfter  time.Duration
-	relay       *relay // the source of a streamed body; nil: body holds all of it
+	status         int
+	body           []byte
+	contentType    string
+	retryAfter     time.Duration
+	responseStream *responseStream // the source of a streamed body; nil: body holds all of it
 }
 
 // clientStage is the state of a client's connection.
@@ -277,7 +277,7 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.outOfService {
-			f.close(func(c *client) bool { return c.stage == clientIdle || (c.stage == clientReading && !c.requestStarted) })
+			f.closeClients(func(c *client) bool { return c.stage == clientIdle || (c.stage == clientReading && !c.requestStarted) })
 		}
 	})
 	slog.Info("out of service")
@@ -322,11 +322,11 @@
 	f.mu.Lock()
 	f.closed = true
 	f.listener.Close()
-	f.close(func(c *client) bool { return c.stage == clientIdle })
+	f.closeClients(func(c *client) bool { return c.stage == clientIdle })
 	f.mu.Unlock()
 	time.Sleep(newClientGracePeriod)
 	f.mu.Lock()
-	f.close(func(c *client) bool { return c.stage == clientReading && !c.requestStarted })
+	f.closeClients(func(c *client) bool { return c.stage == clientReading && !c.requestStarted })
 	f.mu.Unlock()
 	f.clientsDone.Wait() // request deadlines and I/O timeouts bound every connection
 }
@@ -343,7 +343,7 @@
 }
 
 // close closes the connections that match. The caller holds f.mu.
-func (f *frontend) close(match func(*client) bool) {
+func (f *frontend) closeClients(match func(*client) bool) {
 	for c := range f.clients {
 		if match(c) {
 			c.stage = clientEvicted
@@ -415,8 +415,8 @@
 		return false
 	}
 	closing := mustClose() || resp.status == http.StatusConflict
-	if resp.relay != nil {
-		err := c.relayResponse(resp.relay, resp.contentType, closing, w)
+	if resp.responseStream != nil {
+		err := c.forwardResponse(resp.responseStream, resp.contentType, closing, w)
 		return w.stop() && w.readErr != nil && err == nil && !closing
 	}
 	complete := w.stop()
@@ -540,7 +540,7 @@
 
 // relayResponse streams a response to the client. If it fails, the client can tell that the response is
 // incomplete.
-func (c *client) relayResponse(r *relay, contentType string, closing bool, w *clientWatcher) error {
+func (c *client) forwardResponse(r *responseStream, contentType string, closing bool, w *clientWatcher) error {
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -553,14 +553,14 @@
 		case <-done:
 		}
 	}()
-	err := c.copy(r, contentType, closing)
+	err := c.writeStream(r, contentType, closing)
 	r.done <- err
 	return err
 }
 
 // copy writes a streamed response's head, the buffered part of its body, and the rest as it is read from
 // the upstream.
-func (c *client) copy(r *relay, contentType string, closing bool) error {
+func (c *client) writeStream(r *responseStream, contentType string, closing bool) error {
 	chunked := r.length < 0
 	framing := "Transfer-Encoding: chunked\r\n"
 	if !chunked {
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -137,7 +137,7 @@
 
 func newLoop(ctx context.Context, c *Config) *loop {
 	l := &loop{ctx: ctx, events: make(chan event, 1024), listUpdates: make(chan listUpdate, 4),
-		adminCalls: make(chan adminLoopCall, adminConns), logLines: make(chan string, loopLogQueueSize), startTime: time.Now(),
+		adminCalls: make(chan adminLoopCall, maxAdminConns), logLines: make(chan string, loopLogQueueSize), startTime: time.Now(),
 		transport:           upstreamTransport{open: net.DialTimeout, timeout: c.ConnTimeouts.ConnectTimeout},
 		settings:            c.Plan.Settings(),
 		upstreamIdleTimeout: upstreamIdleTimeout(c.ConnTimeouts), maxConns: c.maxUpstreamConns(),
@@ -147,9 +147,9 @@
 	// The clock starts at Unix time, so that discovery's timestamps can be compared with it, and advances with
 	// the monotonic clock, so that it is not affected when the system clock is set.
 	l.clockBase = time.Duration(l.startTime.UnixNano())
-	l.memory.available.Store(c.bodyMemory())
+	l.memory.available.Store(c.bodyMemoryLimit())
 	l.transport.now, l.transport.memory = l.now, &l.memory
-	l.transport.onStreamStart = func(a *attempt, r *relay, load garnettide.Load) { l.post(streamStarted{a, r, load}) }
+	l.transport.onStreamStart = func(a *attempt, r *responseStream, load garnettide.Load) { l.post(streamStarted{a, r, load}) }
 	l.discoveryClient = newDiscoveryClient(ctx, c.Discovery, l.postList)
 	if c.InheritedFD == 0 {
 		// Otherwise the first call fetches the list, which the process needs to be ready: a watch from the cached
@@ -318,14 +318,14 @@
 func (e clientLeft) apply(l *loop) {
 	r := e.request
 	if !r.closed {
-		l.close(r)
+		l.closeRequest(r)
 		l.balancer.ClientGone(l.now(), r.ID)
 		return
 	}
 	select { // discards a response that the client has not taken
-	case a := <-r.responseCh:
-		if a.relay != nil {
-			a.relay.done <- errResponseUnwanted
+	case resp := <-r.responseCh:
+		if resp.responseStream != nil {
+			resp.responseStream.done <- errResponseUnwanted
 		}
 	default:
 	}
@@ -335,18 +335,18 @@
 // its attempt.
 type streamStarted struct {
 	*attempt
-	*relay
+	*responseStream
 	load garnettide.Load
 }
 
 func (e streamStarted) apply(l *loop) {
 	a, r := e.attempt, e.attempt.req
 	if a.reported || r.closed {
-		e.relay.done <- errResponseUnwanted
+		e.responseStream.done <- errResponseUnwanted
 		return
 	}
 	a.streamStarted = true
-	l.respond(r, clientResponse{status: http.StatusOK, contentType: e.header.Get("Content-Type"), relay: e.relay})
+	l.respond(r, clientResponse{status: http.StatusOK, contentType: e.header.Get("Content-Type"), responseStream: e.responseStream})
 	now := l.now()
 	l.balancer.ResponseStarted(now, garnettide.Outcome{ID: r.ID, Upstream: a.upstream.id, Attempt: a.index,
 		Latency: now - a.sentAt, Status: garnettide.OK, RequestDone: true, Load: e.load})
@@ -371,7 +371,7 @@
 		l.releaseConn(a.upstream, c)
 	}
 	l.reportOutcome(a, e.attemptResult)
-	l.dropIfRemoved(a.upstream)
+	l.deleteUpstreamIfRemoved(a.upstream)
 }
 
 // reportOutcome reports the only outcome of an attempt to the Balancer, and answers the client if it
@@ -388,7 +388,7 @@
 	req.inFlight--
 	a.neverRan = result.status.NeverRan()
 	closed := req.closed
-	l.releaseRequest(req)
+	l.deleteRequestIfDone(req)
 	l.balancer.Outcome(now, garnettide.Outcome{ID: req.ID, Upstream: a.upstream.id, Attempt: a.index,
 		Latency: now - a.sentAt, Status: result.status, RequestDone: closed,
 		BodyConsumed: req.message.rest != nil && req.message.rest.started.Load(), Load: result.load})
@@ -434,27 +434,27 @@
 }
 
 // respond sends the only response to a request, if it is still open.
-func (l *loop) respond(r *request, a clientResponse) {
+func (l *loop) respond(r *request, resp clientResponse) {
 	if !r.closed {
-		l.close(r)
-		r.responseCh <- a
+		l.closeRequest(r)
+		r.responseCh <- resp
 	}
 }
 
 // close marks a request as done. Attempts that are still waiting for a connection are dropped, so that
 // nothing is written after the final response.
-func (l *loop) close(r *request) {
+func (l *loop) closeRequest(r *request) {
 	r.closed = true
 	for _, a := range r.attempts {
 		if a.drop() {
 			l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, garnettide.NotSent})
 		}
 	}
-	l.releaseRequest(r)
+	l.deleteRequestIfDone(r)
 }
 
 // releaseRequest removes a request that is closed and has no attempts in flight.
-func (l *loop) releaseRequest(r *request) {
+func (l *loop) deleteRequestIfDone(r *request) {
 	if r.closed && r.inFlight == 0 {
 		if _, open := l.requests[r.ID]; open {
 			l.memory.free(r.message.body)
@@ -701,7 +701,7 @@
 }
 
 // dropIfRemoved deletes an upstream that has been removed and has no attempts in flight.
-func (l *loop) dropIfRemoved(u *upstream) {
+func (l *loop) deleteUpstreamIfRemoved(u *upstream) {
 	if u.state == garnettide.Removed && len(u.inFlight) == 0 && l.upstreams[u.id] == u {
 		delete(l.upstreams, u.id)
 		l.releaseID(u.discoveryID)
@@ -739,9 +739,9 @@
 
 // setMaintenance puts an upstream in maintenance or ends its maintenance. It reports false while a request
 // is being written to the upstream.
-func (l *loop) setMaintenance(id string, out bool) bool {
+func (l *loop) setMaintenance(id string, on bool) bool {
 	number, inMaintenance := l.inMaintenance[id]
-	if !out {
+	if !on {
 		if inMaintenance {
 			delete(l.inMaintenance, id)
 			l.balancer.SetMaintenance(l.now(), number, false)
@@ -835,7 +835,7 @@
 	l.balancer.Members(l.now(), mode, entries)
 	l.reportPending()
 	for _, u := range l.upstreams {
-		l.dropIfRemoved(u)
+		l.deleteUpstreamIfRemoved(u)
 	}
 	if l.onListApplied != nil {
 		l.onListApplied(list.Revision)
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -18,7 +18,7 @@
 	// adminCallTimeout is how long an operator waits for the result of a call.
 	adminCallTimeout = time.Second
 	// adminConns limits the open connections of operators, with a reserve for calls that never finish.
-	adminConns = 8
+	maxAdminConns = 8
 	// writePollInterval is the time between two checks whether a request is still being written to an
 	// upstream that is taken offline.
 	writePollInterval = 5 * time.Millisecond
@@ -53,7 +53,7 @@
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		if s.conns = append(s.conns, c); len(s.conns) > adminConns {
+		if s.conns = append(s.conns, c); len(s.conns) > maxAdminConns {
 			s.conns[0].Close()
 			s.conns = slices.Delete(s.conns, 0, 1)
 		}
@@ -188,7 +188,7 @@
 	if err := s.state.update(ctx, modify); err != nil {
 		return err
 	}
-	if err := s.enforceOrders(ctx); err != nil || s.state.alone() {
+	if err := s.applyOrders(ctx); err != nil || s.state.alone() {
 		return err
 	}
 	select {
@@ -202,7 +202,7 @@
 // enforceOrders applies the orders that are current when the loop runs it. Those stored by its own call may
 // be older than those of a later call that the loop has already applied. It waits until no request is being
 // written to an upstream that is offline.
-func (s *adminServer) enforceOrders(ctx context.Context) error {
+func (s *adminServer) applyOrders(ctx context.Context) error {
 	for {
 		var written bool
 		if err := s.runOnLoop(ctx, func(l *loop) {
@@ -226,10 +226,10 @@
 func (s *adminServer) followOrders(ctx context.Context, c *Config, mayAccept chan<- struct{}) {
 	ticker := time.NewTicker(ordersPollInterval)
 	defer ticker.Stop()
-	sharing, pending := false, true
+	sharing, acceptPending := false, true
 	for {
 		if s.state.refresh() {
-			if err := s.enforceOrders(ctx); err != nil && ctx.Err() == nil {
+			if err := s.applyOrders(ctx); err != nil && ctx.Err() == nil {
 				slog.Error("applying the orders of the other process failed", "err", err)
 			}
 		}
@@ -237,11 +237,11 @@
 			sharing = !alone
 			s.shareLimits(ctx, c, sharing)
 		}
-		if pending {
+		if acceptPending {
 			var missing string
 			if err := s.runOnLoop(ctx, func(l *loop) { missing = l.missing() }); !sharing || (err == nil && missing == "") {
 				close(mayAccept)
-				pending = false
+				acceptPending = false
 			}
 		}
 		select {
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -106,7 +106,7 @@
 func TestUnfinishedAdminCallsDelayNoOthers(t *testing.T) {
 	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
 	var silent []net.Conn
-	for i := range 3 * adminConns {
+	for i := range 3 * maxAdminConns {
 		c, err := net.Dial("tcp", b.config.Operator)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -324,7 +324,7 @@
 		front.startClient(accepted)
 		front.clientsDone.Wait()
 		want(t, "events posted to the loop", len(h.events), 0)
-		want(t, "free body memory", h.memory.available.Load(), c.bodyMemory())
+		want(t, "free body memory", h.memory.available.Load(), c.bodyMemoryLimit())
 	})
 	t.Run("before the loop handles the disconnect", func(t *testing.T) {
 		upstream := newTestUpstream(t, respondOK)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -324,7 +324,7 @@
 		return b.checkOnLoop(func(l *loop) bool { return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0 })
 	})
 	want(t, "requests at the upstream", len(upstream.received), 0)
-	want(t, "free body memory", b.loop.memory.available.Load(), b.config.bodyMemory())
+	want(t, "free body memory", b.loop.memory.available.Load(), b.config.bodyMemoryLimit())
 }
 
 // TestEarlyResponse guards against losing a response that an upstream sends before it has received the whole body, and
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -132,19 +132,19 @@
 // abort ends a claimed attempt at once from the upstream's point of view. The reading goroutine closes the
 // connection, which may happen after another attempt has been written.
 func (a *attempt) abort() {
-	if half, ok := a.conn.Conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite() // fails only if the connection is already broken
+	if halfCloser, ok := a.conn.Conn.(interface{ CloseWrite() error }); ok {
+		halfCloser.CloseWrite() // fails only if the connection is already broken
 	}
 	a.setReadDeadline(time.Unix(0, 1))
 }
 
 // waitReadable waits until reading the response would not block. It reports false if that takes longer than
 // readDeadline.
-func (a *attempt) waitReadable(readDeadline time.Time) bool {
+func (a *attempt) waitReadable(until time.Time) bool {
 	if a.conn.reader.Buffered() > 0 {
 		return true
 	}
-	a.conn.SetReadDeadline(readDeadline)
+	a.conn.SetReadDeadline(until)
 	_, err := a.conn.reader.Peek(1)
 	a.conn.SetReadDeadline(time.Time{})
 	if at := a.readDeadline.Load(); at != 0 { // set by the loop in the meantime
@@ -156,7 +156,7 @@
 
 // relay is a response that is streamed to the client. The frontend reads the body from the upstream's
 // connection and sends the result to done.
-type relay struct {
+type responseStream struct {
 	upstreamResponse
 	conn     *conn
 	buffered []byte // start of the body, already read
@@ -184,7 +184,7 @@
 	timeout       time.Duration        // for connecting, and for a probe once it is connected
 	now           func() time.Duration // the loop's clock
 	memory        *bodyMemory
-	onStreamStart func(*attempt, *relay, garnettide.Load) // called when a response begins to be streamed
+	onStreamStart func(*attempt, *responseStream, garnettide.Load) // called when a response begins to be streamed
 }
 
 // connect returns the idle connection if it can still be used, or a new one.
@@ -328,7 +328,7 @@
 
 // uploadFinished reports, when the response begins, whether the whole request has been written. If not, the
 // response is early and the upload is cancelled.
-func (a *attempt) uploadFinished() bool {
+func (a *attempt) finishUpload() bool {
 	if a.uploadDone == nil {
 		return true
 	}
@@ -351,7 +351,7 @@
 		c.Close()
 		return attemptResult{status: readErrorStatus(err)}
 	}
-	if !a.uploadFinished() {
+	if !a.finishUpload() {
 		resp.closeAfter = true
 	}
 	result := attemptResult{status: garnettide.Error, load: parseLoad(resp.header["X-Load"])}
@@ -377,7 +377,7 @@
 		t.memory.free(body)
 		result.status, resp.closeAfter = garnettide.Error, true
 	default:
-		stream := &relay{upstreamResponse: resp, conn: c, buffered: body, done: make(chan error, 1)}
+		stream := &responseStream{upstreamResponse: resp, conn: c, buffered: body, done: make(chan error, 1)}
 		t.onStreamStart(a, stream, result.load)
 		err := <-stream.done
 		if t.memory.free(body); err != nil {
