--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -20,17 +20,17 @@
 // minInheritedFD is the first descriptor after standard input, output and error.
 const minInheritedFD = 3
 
-// Config is the configuration of a balancer at its start.
+// Config is the configuration with which a balancer starts.
 type Config struct {
 	Name         string
-	Listen       string // host:port for clients
-	Discovery    string // host:port of discovery
-	Operator     string // host:port for operators; empty: no admin listener
-	StateDir     string // directory of the state file
-	InheritedFD  int    // descriptor of the clients' listening socket; 0: the process opens its own
-	Seed         uint64
-	MemoryMB     int
-	Sockets      int
+	Listen       string        // host:port for clients
+	Discovery    string        // host:port of discovery
+	Operator     string        // host:port for operators; empty: no admin listener
+	StateDir     string        // directory of the state file
+	InheritedFD  int           // descriptor of the clients' listening socket; 0: the process opens its own
+	Seed         uint64        // of the Balancer's random numbers
+	MemoryMB     int           // memory limit, in MiB
+	Sockets      int           // limit of open sockets
 	CachedList   discoveryList // last known upstreams, possibly out of date
 	Plan         *garnettide.Plan
 	ConnTimeouts wire.ConnTimeouts
@@ -46,7 +46,8 @@
 	OnListApplied func(revision uint64)
 }
 
-// configFile is the configuration file without known and settings, which are decoded as streams.
+// configFile is the configuration file without the keys known and settings, which are decoded one element
+// at a time.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -68,7 +69,7 @@
 	return parseConfig(getenv, text, hash, nil)
 }
 
-// parseConfig decodes and checks a configuration, in slices of work.
+// parseConfig decodes and checks a configuration, overridden by the RELAY_ variables. slicer may be nil.
 func parseConfig(getenv func(string) string, text io.Reader, hash string, slicer *workSlicer) (Config, error) {
 	path := getenv("RELAY_CONFIG")
 	c, err := decodeConfig(text, slicer, func(f *configFile) {
@@ -94,8 +95,8 @@
 	return c, nil
 }
 
-// decodeConfig decodes and checks a configuration. override may change the file's values before they are
-// checked.
+// decodeConfig decodes and checks a configuration. override may change the values of all keys but known and
+// settings before they are checked.
 func decodeConfig(text io.Reader, slicer *workSlicer, override func(*configFile)) (Config, error) {
 	var c Config
 	var f configFile
@@ -165,7 +166,7 @@
 	return nil
 }
 
-// validateInto checks the values and stores them in c.
+// validateInto stores the values in c and checks them.
 func (f *configFile) validateInto(c *Config) error {
 	c.Name, c.Listen, c.Discovery, c.Operator = f.Name, f.Listen, f.Discovery, f.Operator
 	c.MemoryMB, c.Sockets = f.Limits.MemoryMB, f.Limits.Sockets
@@ -202,7 +203,7 @@
 	return c.Sockets - c.maxUpstreamConns() - max(c.Sockets/16, 16) - c.adminSockets()
 }
 
-// adminConns returns the number of sockets for the admin listener and its connections.
+// adminSockets returns the number of sockets for the admin listener and its connections.
 func (c *Config) adminSockets() int {
 	if c.Operator == "" {
 		return 0
@@ -210,6 +211,6 @@
 	return 1 + maxAdminConns
 }
 
-// bodyMemory returns how many bytes of bodies may be buffered at once. The rest of the memory is for the
+// bodyMemoryLimit returns how many bytes of bodies may be buffered at once. The rest of the memory is for the
 // program, its connections and garbage.
 func (c *Config) bodyMemoryLimit() int64 { return int64(c.MemoryMB) << 20 / 4 }
--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -22,7 +22,7 @@
 
 const (
 	// discoveryWatchTimeout is how long discovery may hold a watch call while nothing changes, on average. Each
-	// call draws its own time within a fifth of it, so that balancers that were started together do not
+	// call draws a random time within a fifth of it, so that balancers that were started together do not
 	// reconnect at the same time after their watches have gone silent.
 	discoveryWatchTimeout = 10 * time.Second
 	discoveryCallTimeout  = 3 * time.Second // for calls that are not held; discovery fails them earlier
@@ -35,11 +35,11 @@
 	// have been answered by then.
 	watchSilenceMargin = 250 * time.Millisecond
 	// minWatchInterval is the minimum time between the starts of two watch calls, so that a discovery server
-	// that answers at once does not keep the process busy. Discovery treats a call that comes 200 ms after its
-	// last answer as a new watch.
+	// that responds at once does not keep the process busy. Discovery treats a call that comes 200 ms after its
+	// last response as a new watch.
 	minWatchInterval = 100 * time.Millisecond
-	maxListBytes     = 4 << 20
-	maxRecentIDs     = 4096 // well over the number of upstreams, and less than 1 MB
+	maxListBytes     = 4 << 20 // of a response; a longer one is cut off and fails to decode
+	maxRecentIDs     = 4096    // well over the number of upstreams, and less than 1 MB
 )
 
 // discoveryList is a list from discovery: all upstreams if Complete, otherwise the changed ones.
@@ -57,9 +57,10 @@
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"`
 	Size      float64 `json:"size"`
-	UpSinceMS int64   `json:"up_since_ms"`
+	UpSinceMS int64   `json:"up_since_ms"` // Unix time
 }
 
+// statesByPhase maps discovery's phases to the Balancer's states.
 var statesByPhase = map[string]garnettide.State{
 	"up": garnettide.Active, "draining": garnettide.Draining, "removed": garnettide.Removed,
 }
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// upstream converts the entry for the Balancer.
+// upstream converts the entry to the Balancer's form. id is the number of its ID.
 func (m *member) upstream(id garnettide.UpstreamID) garnettide.Upstream {
 	return garnettide.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: statesByPhase[m.Phase],
 		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock starts at Unix time
@@ -92,7 +93,7 @@
 // digits is the value of the digits, that of any other ID is its FNV-1a hash. If the number is taken, the
 // ID is hashed with a counter appended until a free one is found. Lists are processed in the order of IDs,
 // so balancers differ at most in which of two colliding IDs came first, and no two upstreams share a number.
-// An ID keeps its number until its upstream is removed and has no attempts in flight.
+// An ID keeps its number until its upstream is removed, has no attempts in flight and is not in maintenance.
 type upstreamIDs struct {
 	ids   map[string]garnettide.UpstreamID
 	taken map[garnettide.UpstreamID]bool
@@ -207,8 +208,8 @@
 // errWatchSilent reports that a watch call was not answered in time.
 var errWatchSilent = errors.New("discovery watch went silent")
 
-// watch posts lists until a call fails or ctx ends. It begins with the whole list unless a revision has
-// been recorded: revisions of another discovery server have no meaning for this one.
+// watch posts lists until ctx ends or a call fails, which it posts too. It begins with the whole list unless
+// this client has recorded a revision. Revisions of a discovery server at another address are not comparable.
 func (d *discoveryClient) watch(ctx context.Context) {
 	for ctx.Err() == nil {
 		next := time.After(minWatchInterval)
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -29,16 +29,16 @@
 	acceptGracePeriod = 450 * time.Millisecond
 
 	// A process is killed no sooner after SIGTERM than the longest deadline of a class, capped at
-	// maxShutdownDeadline, plus shutdownGracePeriod. Every accepted request must be answered by then.
+	// maxShutdownDeadline, plus shutdownGracePeriod. Every accepted request must have its response by then.
 	maxShutdownDeadline = 3 * time.Second
 	shutdownGracePeriod = 700 * time.Millisecond
-	// handoverIdlePeriod is how long idle connections are kept after SIGTERM when another process uses the
-	// listener too. Most are used and closed after a response within it, and requests that arrive in it
-	// keep their full deadlines.
+	// handoverIdlePeriod is how long idle connections are kept after SIGTERM when another process may accept
+	// from the same socket. Most are used within it and closed after the response, and requests that arrive
+	// in it keep their full deadlines.
 	handoverIdlePeriod = 600 * time.Millisecond
 
 	// newClientGracePeriod is how long a new connection is safe from eviction while its request has not
-	// arrived. After SIGTERM the last accepted connections get as long.
+	// arrived, and how long the last connections accepted after SIGTERM may take to begin a request.
 	newClientGracePeriod = 50 * time.Millisecond
 	// noDataEvictAfter is the age at which a connection that has sent nothing becomes the first to be
 	// evicted. Clients with a request have begun to send it by then, even after waiting in a full accept
@@ -52,7 +52,8 @@
 	firstByteTimeout   = 2500 * time.Millisecond
 	requestHeadTimeout = 2800 * time.Millisecond
 	minClientBodyRate  = 32 << 10
-	clientIdleTimeout  = 2 * time.Minute
+	// clientIdleTimeout is how long a connection may be idle between two requests.
+	clientIdleTimeout = 2 * time.Minute
 
 	// clientLingerTimeout and maxClientLingerBytes limit how long and how much is read and discarded after
 	// a request was refused. Closing at once would reset the connection, and the client could lose the
@@ -64,13 +65,13 @@
 	earlyResponseLingerTimeout = 2 * time.Second
 )
 
-// clientResponse is the one response to a client's request.
+// clientResponse is a response to a client.
 type clientResponse struct {
 	status         int
 	body           []byte
 	contentType    string
 	retryAfter     time.Duration
-	responseStream *responseStream // the source of a streamed body; nil: body holds all of it
+	responseStream *responseStream // a streamed response's body; nil: body holds all of it
 }
 
 // clientStage is the state of a client's connection.
@@ -93,6 +94,7 @@
 	lastRead    atomic.Int64  // when bytes were last read, in Unix nanoseconds
 }
 
+// Read reads from the connection. If limited is set, it fails with a time-out once remaining is used up.
 func (c *timedConn) Read(b []byte) (int, error) {
 	if !c.limited {
 		return c.Conn.Read(b)
@@ -116,7 +118,7 @@
 	return n, err
 }
 
-// stop makes current and later reads fail. It may be called from any goroutine.
+// stop makes current and later reads fail with a time-out. It may be called from any goroutine.
 func (c *timedConn) stop() {
 	c.stopped.Store(true)
 	c.Conn.SetReadDeadline(time.Unix(0, 1))
@@ -136,8 +138,8 @@
 type frontend struct {
 	plan           atomic.Pointer[garnettide.Plan] // the plan in force
 	memory         *bodyMemory                     // shared with the loop
-	post           func(event)
-	now            func() time.Duration
+	post           func(event)                     // sends an event to the loop
+	now            func() time.Duration            // the loop's clock
 	listener       net.Listener
 	listenerShared bool // another process may accept from the same listening socket
 
@@ -145,7 +147,7 @@
 	maxClients   int // limit of client connections
 	clients      map[*client]struct{}
 	stopping     bool           // stop has been called: every response closes its connection
-	killAt       time.Time      // when stopping, the time by which every request must be answered
+	killAt       time.Time      // when stopping, the time by which every response must be sent
 	accepting    bool           // serve has been called
 	closed       bool           // new and idle connections are closed
 	outOfService bool           // draining: every response closes its connection
@@ -205,8 +207,8 @@
 
 // makeRoom reports whether there is room for one more connection. If there is none, it evicts the one that
 // has made no progress for longest. Connections with a request in flight are not evicted, nor are those that
-// have made progress within newClientGracePeriod while a request is awaited or read. Running out of
-// descriptors would also fail connections to upstreams and discovery.
+// are new, or whose request is being read, and have made progress within newClientGracePeriod. Running out
+// of descriptors would also fail connections to upstreams and discovery.
 func (f *frontend) makeRoom() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,7 +279,9 @@
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.outOfService {
-			f.closeClients(func(c *client) bool { return c.stage == clientIdle || (c.stage == clientReading && !c.requestStarted) })
+			f.closeClients(func(c *client) bool {
+				return c.stage == clientIdle || (c.stage == clientReading && !c.requestStarted)
+			})
 		}
 	})
 	slog.Info("out of service")
@@ -306,8 +310,9 @@
 }
 
 // stop shuts down gracefully. It keeps accepting for acceptGracePeriod, then closes the listener and the
-// idle connections, and returns when every accepted request has been answered. A shared listener is closed
-// at once, as the other process accepts from it.
+// idle connections, and returns when every accepted request has its response. A shared listener is closed at
+// once, as the other process accepts from the same socket, and idle connections are kept for
+// handoverIdlePeriod.
 func (f *frontend) stop() {
 	f.mu.Lock()
 	f.stopping, f.killAt = true, time.Now().Add(
@@ -342,7 +347,7 @@
 	}
 }
 
-// close closes the connections that match. The caller holds f.mu.
+// closeClients closes the connections that match. The caller holds f.mu.
 func (f *frontend) closeClients(match func(*client) bool) {
 	for c := range f.clients {
 		if match(c) {
@@ -454,7 +459,7 @@
 		}
 		c.timed.limited = false
 		c.SetReadDeadline(time.Time{})
-		if c.timed.stopped.Load() { // stop may have run before the line above
+		if c.timed.stopped.Load() { // stop may have run before the deadline was cleared
 			c.SetReadDeadline(time.Unix(0, 1))
 		}
 		c.readLimit.N = maxHeadBytes
@@ -464,8 +469,8 @@
 	return w
 }
 
-// awaitResponse waits for the response. It returns an error if the client closes the connection or sends an
-// invalid body or bytes after the request.
+// awaitResponse waits for the loop's response. It returns an error if the client closes the connection or
+// sends an invalid body or bytes after the request.
 func (w *clientWatcher) awaitResponse() (clientResponse, error) {
 	select {
 	case resp := <-w.req.responseCh:
@@ -538,8 +543,8 @@
 	return budget
 }
 
-// relayResponse streams a response to the client. If it fails, the client can tell that the response is
-// incomplete.
+// forwardResponse streams a response to the client and sends the result to r.done. If it fails, the client can
+// tell that the response is incomplete.
 func (c *client) forwardResponse(r *responseStream, contentType string, closing bool, w *clientWatcher) error {
 	done := make(chan struct{})
 	defer close(done)
@@ -558,15 +563,16 @@
 	return err
 }
 
-// copy writes a streamed response's head, the buffered part of its body, and the rest as it is read from
-// the upstream.
+// writeStream writes a streamed response's head, the buffered part of its body, and the rest as it is read
+// from the upstream.
 func (c *client) writeStream(r *responseStream, contentType string, closing bool) error {
 	chunked := r.length < 0
 	framing := "Transfer-Encoding: chunked\r\n"
 	if !chunked {
 		framing = fmt.Sprintf("Content-Length: %d\r\n", r.length)
 	}
-	if err := writeFully(c, renderHead(clientResponse{status: http.StatusOK, contentType: contentType}, framing, closing)); err != nil {
+	if err := writeFully(c, renderHead(clientResponse{status: http.StatusOK, contentType: contentType}, framing,
+		closing)); err != nil {
 		return err
 	}
 	p := bodyBuffers.Get().(*bodyBuffer)
@@ -597,7 +603,7 @@
 }
 
 // healthResponse returns the response to a health check of this balancer. If it is in service, the response
-// waits until the loop has handled an event.
+// waits until the loop has handled an event posted for it.
 func (f *frontend) healthResponse() clientResponse {
 	if f.unhealthy() {
 		return clientResponse{status: http.StatusServiceUnavailable, body: []byte("out of service\n"),
@@ -648,13 +654,14 @@
 	} else if !errors.As(err, &r) && !errors.Is(err, errMalformedHead) && !errors.Is(err, errAmbiguousFraming) {
 		return
 	}
-	if c.writeResponse(clientResponse{status: r.status, body: []byte(r.reason + "\n"), contentType: "text/plain"}, true) != nil {
+	if c.writeResponse(clientResponse{status: r.status, body: []byte(r.reason + "\n"),
+		contentType: "text/plain"}, true) != nil {
 		return
 	}
 	c.lingeringClose(clientLingerTimeout, maxClientLingerBytes)
 }
 
-// lingeringClose closes a TCP connection for writing, then reads and discards what the client still sends
+// lingeringClose closes a TCP connection for writing, then reads and discards what the client still sends,
 // until the client closes it, wait is over or limit bytes have been read.
 func (c *client) lingeringClose(wait time.Duration, limit int64) {
 	if tcp, ok := c.timed.Conn.(*net.TCPConn); ok {
@@ -668,7 +675,8 @@
 	}
 }
 
-// renderHead returns a response's status line and header. closing adds "Connection: close".
+// renderHead returns a response's status line and header. framing is the header line that tells how the body
+// ends. closing adds "Connection: close".
 func renderHead(resp clientResponse, framing string, closing bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n%s", resp.status, http.StatusText(resp.status), framing)
@@ -800,7 +808,8 @@
 	first, _, _ := strings.Cut(path, "/")
 	id, key := h.Get("X-Request-Id"), h.Get("Idempotency-Key")
 	switch {
-	case !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, func(r rune) bool { return r <= ' ' || r >= 0x7f }):
+	case !strings.HasPrefix(target, "/") ||
+		strings.ContainsFunc(target, func(r rune) bool { return r <= ' ' || r >= 0x7f }):
 		return nil, badRequest("the target is no path")
 	case h.Get("Host") == "":
 		return nil, badRequest("Host is wanted")
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -30,7 +30,7 @@
 	// lockRetryInterval is the time between two attempts to lock the state file. The lock is held for one
 	// read and one write.
 	lockRetryInterval = 2 * time.Millisecond
-	// maxOrdersBytes limits the size of the state file. All remembered upstream ids of usual length fit.
+	// maxOrdersBytes limits the size of the state file. maxRecentIDs upstream IDs of usual length fit.
 	maxOrdersBytes = 256 << 10
 	// overlapProcesses is how many processes share the limits: the old one and the new one. Up to
 	// maxProcesses may run if earlier ones have not ended yet.
@@ -38,7 +38,7 @@
 	maxProcesses     = 4
 )
 
-// Listen returns the listener for clients. If c.Inherited is set, it duplicates that descriptor, which must
+// Listen returns the listener for clients. If c.InheritedFD is set, it duplicates that descriptor, which must
 // be a listening TCP socket, and closes the original; otherwise it listens on c.Listen.
 func Listen(c *Config) (net.Listener, error) {
 	if c.InheritedFD == 0 {
@@ -74,7 +74,8 @@
 	return fallback
 }
 
-// operatorOrders are the states that operators have set, as stored in the state file.
+// operatorOrders are the orders of operators that are in force, as stored in the state file. Offline holds
+// discovery IDs.
 type operatorOrders struct {
 	OutOfService bool     `json:"out_of_service"`
 	Offline      []string `json:"offline"`
@@ -95,8 +96,9 @@
 // openStateFile reads the orders stored by earlier processes. A file that can't be used is logged and does
 // not prevent the start. If other processes may be running, it also locks a slot for this one.
 func openStateFile(c *Config) (*stateFile, error) {
-	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"), shared: c.InheritedFD != 0}
-	// alone in another process may lock a free slot for a moment, so each slot is tried several times.
+	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"),
+		shared: c.InheritedFD != 0}
+	// Another process that calls alone locks free slots for a moment, so each slot is tried several times.
 	for try := 0; s.shared && s.processLock == nil && try < 10*maxProcesses; try++ {
 		s.slot = try % maxProcesses
 		var err error
@@ -186,12 +188,13 @@
 	return o, info, nil
 }
 
-// refresh reads the state file if it has changed, and reports whether there are new orders.
+// refresh reads the state file if it has changed, and reports whether it has read orders.
 func (s *stateFile) refresh() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	info, err := os.Stat(s.path)
-	if err != nil || (s.currentInfo != nil && os.SameFile(info, s.currentInfo) && info.ModTime().Equal(s.currentInfo.ModTime())) {
+	if err != nil || (s.currentInfo != nil && os.SameFile(info, s.currentInfo) &&
+		info.ModTime().Equal(s.currentInfo.ModTime())) {
 		return false
 	}
 	o, info, err := s.read()
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -24,11 +24,13 @@
 	// connection to be reused.
 	lateResponseTimeout = 3 * time.Second
 	maxLateResponses    = 4
-	idleSweepInterval   = time.Second
+	// idleSweepInterval is the time between two checks for expired idle connections.
+	idleSweepInterval = time.Second
 	// connReuseDelay is how long a connection stays idle between two requests. Responses do not identify their
 	// request, so a late duplicate response would be taken for the response to the next request. It is detected
 	// if it arrives during the delay.
-	connReuseDelay   = 10 * time.Millisecond
+	connReuseDelay = 10 * time.Millisecond
+	// loopLogQueueSize is how many log lines may wait to be written. Further ones are dropped.
 	loopLogQueueSize = 256
 	// initialListTimeout is how long a new process waits for discovery before it becomes ready with the cached
 	// list. A new process must be ready within 6 s, and discovery fails calls after 2 s.
@@ -38,21 +40,22 @@
 // event is applied by the loop on its own goroutine.
 type event interface{ apply(l *loop) }
 
-// request is a client's request. The frontend fills it in and hands it to the loop.
+// request is a client's request. The frontend fills it in and passes it to the loop. Times are by the loop's
+// clock.
 type request struct {
 	garnettide.Request
-	clientRequestID string // the client's X-Request-Id
+	clientRequestID string // X-Request-Id
 	message         message
 	at              time.Duration       // arrival of the last byte, unless the body is still arriving
 	responseCh      chan clientResponse // buffered; takes the only response
 	// clientGone prevents attempts from being written, even before the loop handles clientLeft. The frontend and
 	// attempts set it.
 	clientGone  atomic.Bool
-	deadline    time.Duration
-	bodyPending bool // the body is still arriving, and the deadline is not set
+	deadline    time.Duration // when the client stops waiting
+	bodyPending bool          // the body is still arriving, and the deadline is not set
 	attempts    []*attempt
 	inFlight    int  // attempts whose outcome has not been reported
-	closed      bool // answered, or the client is gone
+	closed      bool // the response has been sent, or the client is gone
 }
 
 // upstream is the address and the connections of an upstream.
@@ -61,16 +64,17 @@
 	discoveryID   string
 	address       string
 	state         garnettide.State
-	idleConns     []*conn // most recently used last
-	inFlight      map[*attempt]struct{}
-	lateResponses int
+	idleConns     []*conn               // most recently used last
+	inFlight      map[*attempt]struct{} // attempts that hold a connection or are opening one
+	lateResponses int                   // attempts among them that await a late response
 }
 
-// loopTimer is a timer of the Balancer, the deadline of a request, or the time-out of an attempt.
+// loopTimer is the time-out of an attempt, the deadline of a request or, if neither is set, a timer of the
+// Balancer.
 type loopTimer struct {
 	at      time.Duration
 	serial  uint64 // orders timers of the same time
-	token   uint64
+	token   uint64 // passed to Balancer.Timer
 	request *request
 	attempt *attempt
 }
@@ -93,7 +97,8 @@
 }
 
 // loop owns the Balancer and runs it on one goroutine. All methods run on that goroutine, except post,
-// postList, now and writeLogs. The loop blocks only on receiving from its channels.
+// postList, now and writeLogs, and start, which is called before run. The loop blocks only on receiving from
+// its channels.
 type loop struct {
 	balancer            *garnettide.Balancer
 	ctx                 context.Context
@@ -109,21 +114,21 @@
 	memory              bodyMemory
 	settings            garnettide.Settings
 	upstreamIdleTimeout time.Duration
-	maxConns            int
+	maxConns            int                   // limit of connCount
 	onListApplied       func(revision uint64) // may be nil
 
 	upstreamIDs     *upstreamIDs
-	revision        uint64
-	listReceived    bool   // discovery has answered this process
+	revision        uint64 // of the last list applied
+	listReceived    bool   // discovery has sent this process a list
 	serial          uint64 // last number given to a timer or a request
 	timers          timers
 	requests        map[garnettide.RequestID]*request
-	openIDs         map[string]bool // client request IDs of requests
+	openIDs         map[string]bool // client request IDs of the entries of requests
 	upstreams       map[garnettide.UpstreamID]*upstream
 	inMaintenance   map[string]garnettide.UpstreamID // upstreams in maintenance, by discovery ID
 	recentIDs       *recentIDs
 	connCount       int              // connections to upstreams, open or being opened
-	pendingOutcomes []pendingOutcome // the Balancer must not be called from within its own calls of Host
+	pendingOutcomes []pendingOutcome // collected because methods of Host must not call the Balancer
 	nextIdleSweep   time.Duration
 }
 
@@ -137,7 +142,8 @@
 
 func newLoop(ctx context.Context, c *Config) *loop {
 	l := &loop{ctx: ctx, events: make(chan event, 1024), listUpdates: make(chan listUpdate, 4),
-		adminCalls: make(chan adminLoopCall, maxAdminConns), logLines: make(chan string, loopLogQueueSize), startTime: time.Now(),
+		adminCalls: make(chan adminLoopCall, maxAdminConns), logLines: make(chan string, loopLogQueueSize),
+		startTime:           time.Now(),
 		transport:           upstreamTransport{open: net.DialTimeout, timeout: c.ConnTimeouts.ConnectTimeout},
 		settings:            c.Plan.Settings(),
 		upstreamIdleTimeout: upstreamIdleTimeout(c.ConnTimeouts), maxConns: c.maxUpstreamConns(),
@@ -149,11 +155,13 @@
 	l.clockBase = time.Duration(l.startTime.UnixNano())
 	l.memory.available.Store(c.bodyMemoryLimit())
 	l.transport.now, l.transport.memory = l.now, &l.memory
-	l.transport.onStreamStart = func(a *attempt, r *responseStream, load garnettide.Load) { l.post(streamStarted{a, r, load}) }
+	l.transport.onStreamStart = func(a *attempt, r *responseStream, load garnettide.Load) {
+		l.post(streamStarted{a, r, load})
+	}
 	l.discoveryClient = newDiscoveryClient(ctx, c.Discovery, l.postList)
 	if c.InheritedFD == 0 {
-		// Otherwise the first call fetches the list, which the process needs to be ready: a watch from the cached
-		// revision would answer only when the list changes.
+		// A process that takes over from another needs a list to become ready, so its first call requests the
+		// whole one: discovery would respond to a watch from the cached revision only when the list changes.
 		l.discoveryClient.recordRevision(c.CachedList.Revision)
 	}
 	return l
@@ -165,7 +173,7 @@
 // post sends an event to the loop, from any goroutine. It may block; the loop never waits for the sender.
 func (l *loop) post(e event) { l.events <- e }
 
-// postList sends the result of a discovery call to the loop, from any goroutine.
+// postList sends the result of a discovery call to the loop, from any goroutine. It may block.
 func (l *loop) postList(update listUpdate) { l.listUpdates <- update }
 
 // start creates the Balancer and passes it the cached list. offline lists the upstreams in maintenance.
@@ -249,6 +257,7 @@
 	}
 }
 
+// addTimer adds a timer and assigns its serial.
 func (l *loop) addTimer(t loopTimer) {
 	l.serial++
 	t.serial = l.serial
@@ -346,7 +355,8 @@
 		return
 	}
 	a.streamStarted = true
-	l.respond(r, clientResponse{status: http.StatusOK, contentType: e.header.Get("Content-Type"), responseStream: e.responseStream})
+	l.respond(r, clientResponse{status: http.StatusOK, contentType: e.header.Get("Content-Type"),
+		responseStream: e.responseStream})
 	now := l.now()
 	l.balancer.ResponseStarted(now, garnettide.Outcome{ID: r.ID, Upstream: a.upstream.id, Attempt: a.index,
 		Latency: now - a.sentAt, Status: garnettide.OK, RequestDone: true, Load: e.load})
@@ -374,8 +384,8 @@
 	l.deleteUpstreamIfRemoved(a.upstream)
 }
 
-// reportOutcome reports the only outcome of an attempt to the Balancer, and answers the client if it
-// succeeded.
+// reportOutcome reports the only outcome of an attempt to the Balancer, and responds to the client if the
+// attempt succeeded.
 func (l *loop) reportOutcome(a *attempt, result attemptResult) {
 	if a.reported {
 		return
@@ -404,8 +414,8 @@
 	l.pendingOutcomes = nil
 }
 
-// endAttempt ends an attempt with a status, or with NotSent if it was not written. The connection may stay
-// open for a late response.
+// endAttempt ends an attempt with a status, or with NotSent if this call drops it. If the request is closed or
+// past its deadline, the connection may stay open for a late response.
 func (l *loop) endAttempt(a *attempt, status garnettide.Status) {
 	if a.reported {
 		return
@@ -441,7 +451,7 @@
 	}
 }
 
-// close marks a request as done. Attempts that are still waiting for a connection are dropped, so that
+// closeRequest marks a request as done. Attempts that are still waiting for a connection are dropped, so that
 // nothing is written after the final response.
 func (l *loop) closeRequest(r *request) {
 	r.closed = true
@@ -453,7 +463,7 @@
 	l.deleteRequestIfDone(r)
 }
 
-// releaseRequest removes a request that is closed and has no attempts in flight.
+// deleteRequestIfDone deletes a request that is closed and has no attempts in flight.
 func (l *loop) deleteRequestIfDone(r *request) {
 	if r.closed && r.inFlight == 0 {
 		if _, open := l.requests[r.ID]; open {
@@ -466,7 +476,8 @@
 
 // --- Host: actions of the Balancer ---
 
-// Send starts an attempt.
+// Send starts an attempt. The attempt is not written, and its outcome is NotSent, if the request is closed or
+// out of time, or if the upstream is not usable or no connection is available.
 func (l *loop) Send(id garnettide.RequestID, up garnettide.UpstreamID, timeout, window time.Duration) {
 	r, u := l.requests[id], l.upstreams[up]
 	if r == nil || u == nil { // the Balancer knows only requests and upstreams of the loop
@@ -528,7 +539,7 @@
 	return nil, true
 }
 
-// Refuse answers that the request was not served and may be retried.
+// Refuse responds with 503: the request was not served and may be retried.
 func (l *loop) Refuse(id garnettide.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil {
 		if !l.settings.Limits.RetryAfter {
@@ -539,7 +550,7 @@
 	}
 }
 
-// Fail answers that the request failed and may have been executed.
+// Fail responds with 502, or with 504 after the deadline: the request may have been executed.
 func (l *loop) Fail(id garnettide.RequestID) {
 	if r := l.requests[id]; r != nil {
 		status := http.StatusBadGateway
@@ -562,7 +573,7 @@
 	l.addTimer(loopTimer{at: l.now() + max(after, 0), token: token})
 }
 
-// Log queues a line for the log. It drops the line if the queue is full.
+// Log queues a line for writeLogs. It drops the line if the queue is full.
 func (l *loop) Log(text string) {
 	select {
 	case l.logLines <- text:
@@ -570,6 +581,7 @@
 	}
 }
 
+// writeLogs writes the queued log lines until the loop's context ends.
 func (l *loop) writeLogs() {
 	for {
 		select {
@@ -597,7 +609,8 @@
 // Fetch requests the whole list from discovery.
 func (l *loop) Fetch() { go l.discoveryClient.fetch() }
 
-// Probe requests an upstream's load report, or only its health if reports are disabled.
+// Probe requests an upstream's load report, or only its health if reports are disabled. Nothing is reported to
+// the Balancer if the upstream is not usable or no connection is available.
 func (l *loop) Probe(up garnettide.UpstreamID) {
 	u := l.upstreams[up]
 	if u == nil || !l.usable(u) {
@@ -643,7 +656,7 @@
 	}
 }
 
-// closeConns closes idle connections on another goroutine, so that the loop does not wait.
+// closeConns closes unused connections on another goroutine, so that the loop does not wait.
 func (l *loop) closeConns(cs ...*conn) {
 	if l.connCount -= len(cs); len(cs) > 0 {
 		go func() {
@@ -654,7 +667,7 @@
 	}
 }
 
-// setConnLimit limits the connections to upstreams, and closes idle ones over the limit.
+// setConnLimit sets the limit of connections to upstreams, and closes idle ones above it.
 func (l *loop) setConnLimit(limit int) {
 	l.maxConns = limit
 	for l.connCount > limit && l.closeLongestIdle() {
@@ -677,8 +690,8 @@
 	return true
 }
 
-// closeExpiredIdle closes connections that have reached the idle timeout. The least recently used come
-// first.
+// closeExpiredIdle closes the connections that have reached the idle timeout, which come first among the idle
+// ones.
 func (l *loop) closeExpiredIdle(now time.Duration) {
 	for _, u := range l.upstreams {
 		n := 0
@@ -700,7 +713,7 @@
 	}
 }
 
-// dropIfRemoved deletes an upstream that has been removed and has no attempts in flight.
+// deleteUpstreamIfRemoved deletes an upstream that has been removed and has no attempts in flight.
 func (l *loop) deleteUpstreamIfRemoved(u *upstream) {
 	if u.state == garnettide.Removed && len(u.inFlight) == 0 && l.upstreams[u.id] == u {
 		delete(l.upstreams, u.id)
@@ -708,8 +721,8 @@
 	}
 }
 
-// releaseID frees the number of a discovery ID, unless the upstream is in maintenance: the Balancer
-// identifies it by that number.
+// releaseID frees the number of a discovery ID, unless the upstream is in maintenance, which the Balancer
+// knows by that number.
 func (l *loop) releaseID(id string) {
 	if _, inMaintenance := l.inMaintenance[id]; !inMaintenance {
 		l.upstreamIDs.release(id)
@@ -796,8 +809,8 @@
 	l.reportPending()
 }
 
-// missing returns what this process lacks to be ready, or an empty string. The cached list suffices if
-// discovery has not answered within initialListTimeout.
+// missing returns the reason why this process is not ready, or an empty string. The cached list suffices if
+// discovery has not sent a list within initialListTimeout.
 func (l *loop) missing() string {
 	if !l.listReceived && (len(l.upstreams) == 0 || l.now()-l.clockBase < initialListTimeout) {
 		return "discovery has not told its list yet"
--- a/internal/proxy/message.go
+++ b/internal/proxy/message.go
@@ -25,16 +25,17 @@
 // ends. Header fields are parsed by net/textproto.
 
 const (
-	maxHeadBytes        = 16 << 10 // of a start line and header; interim responses count with the final one
+	maxHeadBytes        = 16 << 10 // a start line and header; those of interim responses count with the final one's
 	maxInterimResponses = 16       // 1xx responses before a final one
 
 	maxBufferedBody = 64 << 10 // bytes of a body kept in memory; only a fully buffered body can be sent again
-	maxBodyBytes    = 32 << 20 // a whole body, buffered or streamed
+	maxBodyBytes    = 32 << 20 // a whole body, buffered and streamed parts together
 	bodyBufferSize  = 16 << 10 // bytes of a streamed body per read and write
-	minBodyBuffer   = 1 << 10  // first allocation for a buffered body
+	minBodyBuffer   = 1 << 10  // bytes first allocated for a buffered body
 )
 
-// The first three are written to clients whose requests cause them.
+// Errors in the messages of clients and upstreams. The texts of the first three are also written to clients
+// whose requests cause them.
 var (
 	errMalformedHead    = errors.New("a head that can't be read")
 	errHeadTooLong      = errors.New("a head over the bound")
@@ -361,13 +362,13 @@
 }
 
 // upload is the streamed part of a request's body. The frontend writes it into a pipe that a single attempt
-// reads, so the client is read no faster than the upstream.
+// reads, so that the client is read no faster than the upstream.
 type upload struct {
 	body     io.Reader // reads from the client's connection
 	length   int64     // of the whole body; -1: chunked
 	reader   *io.PipeReader
 	writer   *io.PipeWriter
-	client   net.Conn              // checked for a close by the client
+	client   net.Conn              // the client's connection, checked for a close
 	started  atomic.Bool           // an attempt has begun to read it, so no other one can
 	complete bool                  // set by the frontend when the last byte has arrived
 	failure  atomic.Pointer[error] // passed to fail
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -17,12 +17,12 @@
 const (
 	// adminCallTimeout is how long an operator waits for the result of a call.
 	adminCallTimeout = time.Second
-	// adminConns limits the open connections of operators, with a reserve for calls that never finish.
+	// maxAdminConns limits the open connections of operators. It leaves room for calls that never finish.
 	maxAdminConns = 8
 	// writePollInterval is the time between two checks whether a request is still being written to an
 	// upstream that is taken offline.
 	writePollInterval = 5 * time.Millisecond
-	maxAdminHeadBytes = 4 << 10 // calls have short paths and need no header fields
+	maxAdminHeadBytes = 4 << 10 // calls have short paths and need few header fields
 )
 
 // adminServer serves operators' calls on the admin listener, each on a connection of its own.
@@ -47,7 +47,7 @@
 	return s
 }
 
-// trackConn keeps the open connections within adminConns by closing the oldest.
+// trackConn keeps the open connections within maxAdminConns by closing the oldest.
 func (s *adminServer) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,8 +182,8 @@
 	})
 }
 
-// updateOrders changes the stored orders and applies them. If another process is running, it waits for as
-// long as that needs to apply them too.
+// updateOrders changes the stored orders and applies them. If another process is running, it also waits long
+// enough for that process to apply them.
 func (s *adminServer) updateOrders(ctx context.Context, modify func(*operatorOrders)) error {
 	if err := s.state.update(ctx, modify); err != nil {
 		return err
@@ -199,9 +199,9 @@
 	}
 }
 
-// enforceOrders applies the orders that are current when the loop runs it. Those stored by its own call may
-// be older than those of a later call that the loop has already applied. It waits until no request is being
-// written to an upstream that is offline.
+// applyOrders applies the orders that are current when the loop runs it. They may be newer than those that the
+// same call has stored: the loop may already have applied those of a later call. It waits until no request is
+// being written to an upstream that is offline.
 func (s *adminServer) applyOrders(ctx context.Context) error {
 	for {
 		var written bool
@@ -220,8 +220,8 @@
 	}
 }
 
-// followOrders applies the orders that another process has stored, and shares the limits while there is
-// one. It closes mayAccept once this process may accept connections: when it is ready, or when there is no
+// followOrders applies the orders that another process has stored, and shares the limits while another process
+// runs. It closes mayAccept once this process may accept connections: when it is ready, or when there is no
 // other process.
 func (s *adminServer) followOrders(ctx context.Context, c *Config, mayAccept chan<- struct{}) {
 	ticker := time.NewTicker(ordersPollInterval)
@@ -261,7 +261,9 @@
 	}
 	slog.Info("descriptor and memory limits divided between processes", "processes", processes)
 	s.front.setConnLimit(c.maxClientConns() / processes)
-	if err := s.runOnLoop(ctx, func(l *loop) { l.setConnLimit(c.maxUpstreamConns() / processes) }); err != nil && ctx.Err() == nil {
+	if err := s.runOnLoop(ctx, func(l *loop) {
+		l.setConnLimit(c.maxUpstreamConns() / processes)
+	}); err != nil && ctx.Err() == nil {
 		slog.Error("dividing the descriptor limit failed", "err", err)
 	}
 	if c.OnOverlap != nil {
@@ -269,7 +271,7 @@
 	}
 }
 
-// serve serves calls until stop.
+// serve serves calls until stop is called.
 func (s *adminServer) serve(l net.Listener) error {
 	if err := s.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serving the admin listener: %w", err)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -5,8 +5,9 @@
 	"net"
 )
 
-// Run serves the clients of listener until ctx ends, and returns when the requests accepted until then have
-// been answered. It applies each configuration from reloads, which a Reloader sends.
+// Run serves the clients of listener until ctx ends, then shuts down gracefully: it returns when every
+// accepted request has its response. It returns early, with an error, if the start or a listener fails. It
+// applies each configuration from reloads, which a Reloader sends.
 func Run(ctx context.Context, c Config, listener net.Listener, reloads <-chan Reload) error {
 	return run(ctx, c, listener, reloads, func(*loop) {})
 }
@@ -49,7 +50,7 @@
 	} else {
 		close(mayAccept)
 	}
-	go func() { // beside an older process this one accepts connections only once it is ready
+	go func() { // while an older process runs, this one accepts connections only once it is ready
 		select {
 		case <-mayAccept:
 			serveErrs <- front.serve()
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -29,7 +29,7 @@
 
 // workSlicer divides long work into slices and pauses between them. A nil workSlicer never pauses.
 type workSlicer struct {
-	steps      int
+	steps      int // since the time was last checked
 	sliceStart time.Time
 	pause      func(worked time.Duration)
 }
@@ -105,11 +105,11 @@
 
 // Reload is a changed configuration that has been checked and built, ready to be applied.
 type Reload struct {
-	Discovery    string
+	Discovery    string // host:port of discovery
 	ConnTimeouts wire.ConnTimeouts
 	Plan         *garnettide.Plan
-	PlanDiff     garnettide.PlanDiff // from the previous configuration
-	Hash         string
+	PlanDiff     garnettide.PlanDiff // from the plan of the previous Reload, or of the start
+	Hash         string              // as in Config
 
 	signalledAt time.Time
 	onApplied   func(hash string, took time.Duration)
@@ -156,7 +156,7 @@
 // Reloader reads a process's configuration again on each signal and produces a Reload.
 type Reloader struct {
 	getenv       func(string) string
-	start        Config           // settings fixed at the start
+	start        Config           // configuration of the start, without Plan and CachedList
 	previousPlan *garnettide.Plan // plan of the previous Reload, or of the start
 	lastReload   Reload           // without PlanDiff and applied
 	appliedHash  string           // of the file in force
@@ -232,8 +232,8 @@
 	}
 }
 
-// read reads, checks and builds the configuration. RELAY_DISCOVERY still holds the address of the start, so
-// it does not override the file's.
+// read reads, checks and builds the configuration. It ignores RELAY_DISCOVERY, which still holds the address
+// of the start.
 func (r *Reloader) read(slicer *workSlicer) (Reload, error) {
 	getenv := func(name string) string {
 		if name == "RELAY_DISCOVERY" {
@@ -267,7 +267,8 @@
 		inForce, inFile any
 	}{
 		{"name", r.start.Name, c.Name}, {"listen", r.start.Listen, c.Listen}, {"operator", r.start.Operator, c.Operator},
-		{"seed", fmt.Sprintf("%x", r.start.Seed), fmt.Sprintf("%x", c.Seed)}, {"limits.memory_mb", r.start.MemoryMB, c.MemoryMB},
+		{"seed", fmt.Sprintf("%x", r.start.Seed), fmt.Sprintf("%x", c.Seed)},
+		{"limits.memory_mb", r.start.MemoryMB, c.MemoryMB},
 		{"limits.sockets", r.start.Sockets, c.Sockets},
 	} {
 		if x.inForce != x.inFile {
@@ -285,6 +286,7 @@
 	}
 	r.appliedHash = reload.Hash
 	c, t := reload.PlanDiff.Classes, reload.PlanDiff.Tenants
-	r.log.Info("configuration in force", "hash", reload.Hash, "took", took, "classes_added", c.Added, "classes_changed", c.Changed,
-		"classes_gone", c.Removed, "tenants_added", t.Added, "tenants_changed", t.Changed, "tenants_gone", t.Removed)
+	r.log.Info("configuration in force", "hash", reload.Hash, "took", took,
+		"classes_added", c.Added, "classes_changed", c.Changed, "classes_gone", c.Removed,
+		"tenants_added", t.Added, "tenants_changed", t.Changed, "tenants_gone", t.Removed)
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -17,9 +17,9 @@
 	"garnettide/internal/wire"
 )
 
-// This file makes one attempt on one connection. http.Transport is not used: it may resend a request when a
-// reused connection breaks, it closes the connection of a cancelled request, and it does not report whether
-// the last byte was written.
+// This file makes attempts and probes, each on one connection. http.Transport is not used: it may resend a
+// request when a reused connection breaks, it closes the connection of a cancelled request, and it does not
+// report whether the last byte was written.
 
 const (
 	// responseBufferTime is how long a response of unknown length is buffered, from the end of its head. An
@@ -139,7 +139,7 @@
 }
 
 // waitReadable waits until reading the response would not block. It reports false if that takes longer than
-// readDeadline.
+// until.
 func (a *attempt) waitReadable(until time.Time) bool {
 	if a.conn.reader.Buffered() > 0 {
 		return true
@@ -154,7 +154,7 @@
 	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
-// relay is a response that is streamed to the client. The frontend reads the body from the upstream's
+// responseStream is a response that is streamed to the client. The frontend reads the body from the upstream's
 // connection and sends the result to done.
 type responseStream struct {
 	upstreamResponse
@@ -326,8 +326,8 @@
 	}
 }
 
-// uploadFinished reports, when the response begins, whether the whole request has been written. If not, the
-// response is early and the upload is cancelled.
+// finishUpload ends the upload when the response begins, and reports whether the whole request has been
+// written. If not, the response is early and the upload is cancelled.
 func (a *attempt) finishUpload() bool {
 	if a.uploadDone == nil {
 		return true
@@ -342,7 +342,8 @@
 	return a.uploadComplete.Load()
 }
 
-// receiveResponse reads the response to an attempt, or streams it if it does not fit the buffers. An attempt
+// receiveResponse reads the response to an attempt or a probe. A successful response that does not fit the
+// buffers, or whose end is not known in time, is streamed to the client instead. An attempt
 // with a malformed response counts as executed, and its connection is closed.
 func (t upstreamTransport) receiveResponse(a *attempt) attemptResult {
 	c := a.conn
@@ -394,7 +395,7 @@
 	return result
 }
 
-// readErrorStatus distinguishes a malformed response from a missing one.
+// readErrorStatus returns Error for a malformed response, and Reset for one that is missing or incomplete.
 func readErrorStatus(err error) garnettide.Status {
 	for _, malformed := range []error{errMalformedHead, errHeadTooLong, errAmbiguousFraming, errResponseTooLarge} {
 		if errors.Is(err, malformed) {
@@ -456,6 +457,6 @@
 	upstream *upstream
 	sentAt   time.Duration
 	address  string
-	load     bool
+	load     bool // request the load report; false: the health
 	conn     *conn
 }
