--- a/internal/proxy/discovery.go
+++ b/internal/proxy/discovery.go
@@ -30,8 +30,8 @@
 	// the connection as long as for changes, also when http.Transport repeats a call on a new connection after
 	// a reset. The next call must be answered within 6 s of the reset.
 	discoveryConnectTimeout = 500 * time.Millisecond
-	// watchSilenceMargin is how much later than its own time-out a watch call may be answered before the watch
-	// counts as silent. A change that a silent watch misses is due 2 s after that time-out, and a new call must
+	// watchSilenceMargin is how much later than its own timeout a watch call may be answered before the watch
+	// counts as silent. A change that a silent watch misses is due 2 s after that timeout, and a new call must
 	// have been answered by then.
 	watchSilenceMargin = 250 * time.Millisecond
 	// minWatchInterval is the minimum time between the starts of two watch calls, so that a discovery server
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -94,7 +94,7 @@
 	lastRead    atomic.Int64  // when bytes were last read, in Unix nanoseconds
 }
 
-// Read reads from the connection. If limited is set, it fails with a time-out once remaining is used up.
+// Read reads from the connection. If limited is set, it fails with a timeout once remaining is used up.
 func (c *timedConn) Read(b []byte) (int, error) {
 	if !c.limited {
 		return c.Conn.Read(b)
@@ -118,7 +118,7 @@
 	return n, err
 }
 
-// stop makes current and later reads fail with a time-out. It may be called from any goroutine.
+// stop makes current and later reads fail with a timeout. It may be called from any goroutine.
 func (c *timedConn) stop() {
 	c.stopped.Store(true)
 	c.Conn.SetReadDeadline(time.Unix(0, 1))
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -69,7 +69,7 @@
 	lateResponses int                   // attempts among them that await a late response
 }
 
-// loopTimer is the time-out of an attempt, the deadline of a request or, if neither is set, a timer of the
+// loopTimer is the timeout of an attempt, the deadline of a request or, if neither is set, a timer of the
 // Balancer.
 type loopTimer struct {
 	at      time.Duration
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -138,8 +138,8 @@
 	a.setReadDeadline(time.Unix(0, 1))
 }
 
-// waitReadable waits until reading the response would not block. It reports false if that takes longer than
-// until.
+// waitReadable waits until reading the response would not block. It reports false if nothing has arrived by
+// the given time.
 func (a *attempt) waitReadable(until time.Time) bool {
 	if a.conn.reader.Buffered() > 0 {
 		return true
@@ -314,7 +314,7 @@
 	u.cancel()
 }
 
-// writeFully writes all of b. It fails with a time-out once the peer accepts nothing for bodyIdleTimeout.
+// writeFully writes all of b. It fails with a timeout once the peer accepts nothing for bodyIdleTimeout.
 func writeFully(c net.Conn, b []byte) error {
 	for {
 		c.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
