--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -503,8 +503,8 @@
 	return rest == nil || rest.complete
 }
 
-// forwardBody writes the rest of a body to the pipe that an attempt reads. The pipe has no buffer, so the
-// client is read no faster than the attempt reads.
+// forwardBody writes the rest of a body to the pipe that an attempt reads, and posts bodyReceived once the body
+// is complete. The pipe has no buffer, so the client is read no faster than the attempt reads.
 func (f *frontend) forwardBody(c *client, req *request) error {
 	rest := req.message.rest
 	p := bodyBuffers.Get().(*bodyBuffer)
