--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -28,7 +28,7 @@
 	updates, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
 	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(update listUpdate) { updates <- update })
 	defer d.shutdown()
-	d.client.Transport = &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
+	d.httpClient.Transport = &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 		clientEnd, serverEnd := net.Pipe()
 		go func() {
 			if r, err := http.ReadRequest(bufio.NewReader(serverEnd)); err == nil {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -17,9 +17,9 @@
 	"garnettide/internal/wire"
 )
 
-// This file makes one attempt on one connection. http.Transport is not used: it may resend a request when a
-// reused connection breaks, it closes the connection of a cancelled request, and it does not report whether
-// the last byte was written.
+// This file makes attempts and probes, each on one connection. http.Transport is not used: it may resend a
+// request when a reused connection breaks, it closes the connection of a cancelled request, and it does not
+// report whether the last byte was written.
 
 const (
 	// responseBufferTime is how long a response of unknown length is buffered, from the end of its head. An
@@ -132,19 +132,19 @@
 // abort ends a claimed attempt at once from the upstream's point of view. The reading goroutine closes the
 // connection, which may happen after another attempt has been written.
 func (a *attempt) abort() {
-	if half, ok := a.conn.Conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite() // fails only if the connection is already broken
+	if halfCloser, ok := a.conn.Conn.(interface{ CloseWrite() error }); ok {
+		halfCloser.CloseWrite() // fails only if the connection is already broken
 	}
 	a.setReadDeadline(time.Unix(0, 1))
 }
 
-// waitReadable waits until reading the response would not block. It reports false if that takes longer than
-// readDeadline.
-func (a *attempt) waitReadable(readDeadline time.Time) bool {
+// waitReadable waits until reading the response would not block. It reports false if nothing has arrived by
+// the given time.
+func (a *attempt) waitReadable(until time.Time) bool {
 	if a.conn.reader.Buffered() > 0 {
 		return true
 	}
-	a.conn.SetReadDeadline(readDeadline)
+	a.conn.SetReadDeadline(until)
 	_, err := a.conn.reader.Peek(1)
 	a.conn.SetReadDeadline(time.Time{})
 	if at := a.readDeadline.Load(); at != 0 { // set by the loop in the meantime
@@ -154,9 +154,9 @@
 	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
-// relay is a response that is streamed to the client. The frontend reads the body from the upstream's
+// responseStream is a response that is streamed to the client. The frontend reads the body from the upstream's
 // connection and sends the result to done.
-type relay struct {
+type responseStream struct {
 	upstreamResponse
 	conn     *conn
 	buffered []byte // start of the body, already read
@@ -184,7 +184,7 @@
 	timeout       time.Duration        // for connecting, and for a probe once it is connected
 	now           func() time.Duration // the loop's clock
 	memory        *bodyMemory
-	onStreamStart func(*attempt, *relay, garnettide.Load) // called when a response begins to be streamed
+	onStreamStart func(*attempt, *responseStream, garnettide.Load) // called when a response begins to be streamed
 }
 
 // connect returns the idle connection if it can still be used, or a new one.
@@ -314,7 +314,7 @@
 	u.cancel()
 }
 
-// writeFully writes all of b. It fails with a time-out once the peer accepts nothing for bodyIdleTimeout.
+// writeFully writes all of b. It fails with a timeout once the peer accepts nothing for bodyIdleTimeout.
 func writeFully(c net.Conn, b []byte) error {
 	for {
 		c.SetWriteDeadline(time.Now().Add(bodyIdleTimeout))
@@ -326,9 +326,9 @@
 	}
 }
 
-// uploadFinished reports, when the response begins, whether the whole request has been written. If not, the
-// response is early and the upload is cancelled.
-func (a *attempt) uploadFinished() bool {
+// finishUpload ends the upload when the response begins, and reports whether the whole request has been
+// written. If not, the response is early and the upload is cancelled.
+func (a *attempt) finishUpload() bool {
 	if a.uploadDone == nil {
 		return true
 	}
@@ -342,7 +342,8 @@
 	return a.uploadComplete.Load()
 }
 
-// receiveResponse reads the response to an attempt, or streams it if it does not fit the buffers. An attempt
+// receiveResponse reads the response to an attempt or a probe. A successful response that does not fit the
+// buffers, or whose end is not known in time, is streamed to the client instead. An attempt
 // with a malformed response counts as executed, and its connection is closed.
 func (t upstreamTransport) receiveResponse(a *attempt) attemptResult {
 	c := a.conn
@@ -351,7 +352,7 @@
 		c.Close()
 		return attemptResult{status: readErrorStatus(err)}
 	}
-	if !a.uploadFinished() {
+	if !a.finishUpload() {
 		resp.closeAfter = true
 	}
 	result := attemptResult{status: garnettide.Error, load: parseLoad(resp.header["X-Load"])}
@@ -377,7 +378,7 @@
 		t.memory.free(body)
 		result.status, resp.closeAfter = garnettide.Error, true
 	default:
-		stream := &relay{upstreamResponse: resp, conn: c, buffered: body, done: make(chan error, 1)}
+		stream := &responseStream{upstreamResponse: resp, conn: c, buffered: body, done: make(chan error, 1)}
 		t.onStreamStart(a, stream, result.load)
 		err := <-stream.done
 		if t.memory.free(body); err != nil {
@@ -394,7 +395,7 @@
 	return result
 }
 
-// readErrorStatus distinguishes a malformed response from a missing one.
+// readErrorStatus returns Error for a malformed response, and Reset for one that is missing or incomplete.
 func readErrorStatus(err error) garnettide.Status {
 	for _, malformed := range []error{errMalformedHead, errHeadTooLong, errAmbiguousFraming, errResponseTooLarge} {
 		if errors.Is(err, malformed) {
@@ -456,6 +457,6 @@
 	upstream *upstream
 	sentAt   time.Duration
 	address  string
-	load     bool
+	load     bool // request the load report; false: the health
 	conn     *conn
 }
