--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -37,7 +37,7 @@
 	pflag.IntVar(&options.Size.Upstreams, "upstreams", 0, "number of upstreams in the list of discovery (0: 14000 in scenes, 1000 in slopes)")
 	pflag.IntVar(&options.Size.Tenants, "tenants", 0, "number of tenants in the settings (0: 1000 in scenes, 100 in slopes)")
 	pflag.IntVar(&options.Size.Classes, "classes", 0, "number of classes in the settings (0: 20)")
-	pflag.IntVar(&options.Size.Machines, "machines", 0, "number of discovery servers, 1 to 4 (0: 4)")
+	pflag.IntVar(&options.Size.DiscoveryServers, "machines", 0, "number of discovery servers, 1 to 4 (0: 4)")
 	pflag.Float64Var(&options.Size.Rate, "rate", 0, "requests per second, over all real balancers (0: 240)")
 	pflag.DurationVar(&options.Size.Costs.Call, "call-cost", 0, "time that a discovery server takes for each call; calls are served one at a time")
 	pflag.DurationVar(&options.Size.Costs.Entry, "entry-cost", 0, "additional time that a discovery server takes for each entry of its response")
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -18,7 +18,7 @@
 // that to be meaningful.
 
 const (
-	maxMachines = 4
+	maxDiscoveryServers = 4
 	// A call that would wait longer than maxQueueDelay for earlier calls fails, as with the real service.
 	maxQueueDelay   = 2 * time.Second
 	maxWatchTimeout = 60 * time.Second // upper bound of a watch's timeout_ms
@@ -63,16 +63,16 @@
 
 // discoveryCounters are the counters read into Counts.
 type discoveryCounters struct {
-	calls, watches, updates, fullList, failed, entries, body, bytesIn, bytesOut, waiting atomic.Int64
+	calls, watches, updates, fullLists, failed, entries, bodyBytes, bytesIn, bytesOut, waiting atomic.Int64
 }
 
 func (c *discoveryCounters) snapshot() Counts {
-	return Counts{c.calls.Load(), c.watches.Load(), c.updates.Load(), c.fullList.Load(), c.failed.Load(), c.entries.Load(), c.body.Load(),
+	return Counts{c.calls.Load(), c.watches.Load(), c.updates.Load(), c.fullLists.Load(), c.failed.Load(), c.entries.Load(), c.bodyBytes.Load(),
 		c.bytesIn.Load(), c.bytesOut.Load(), c.waiting.Load()}
 }
 
 // machine serves the shared list at one address of discovery.
-type machine struct {
+type discoveryServer struct {
 	list    *list
 	counts  *discoveryCounters
 	address string
@@ -81,7 +81,7 @@
 	mode       Mode
 	costs      Costs
 	busyUntil  time.Time // end of the service times reserved so far
-	server     *http.Server
+	httpServer *http.Server
 	modeCtx    context.Context // cancelled by mode changes, except from up to silent
 	cancelMode context.CancelFunc
 
@@ -89,16 +89,16 @@
 }
 
 // newMachine returns a machine that listens at address. Port 0 selects a free port.
-func newMachine(l *list, c *discoveryCounters, address string, costs Costs) (*machine, error) {
-	m := &machine{list: l, counts: c, address: address, costs: costs, mode: ModeDown}
-	return m, m.setMode(ModeUp)
+func newDiscoveryServer(servedList *list, c *discoveryCounters, address string, costs Costs) (*discoveryServer, error) {
+	s := &discoveryServer{list: servedList, counts: c, address: address, costs: costs, mode: ModeDown}
+	return s, s.setMode(ModeUp)
 }
 
 // setMode changes the mode of the machine. Setting the current mode has no effect.
-func (m *machine) setMode(mode Mode) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if mode == m.mode {
+func (s *discoveryServer) setMode(mode Mode) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if mode == s.mode {
 		return nil
 	}
 	switch mode {
@@ -106,91 +106,91 @@
 	default:
 		return fmt.Errorf("unknown mode %q", mode)
 	}
-	if m.mode != ModeUp || mode != ModeSilent { // calls in progress stay open when the machine becomes silent
-		if m.cancelMode != nil {
-			m.cancelMode()
+	if s.mode != ModeUp || mode != ModeSilent { // calls in progress stay open when the machine becomes silent
+		if s.cancelMode != nil {
+			s.cancelMode()
 		}
-		m.modeCtx, m.cancelMode = context.WithCancel(context.Background())
+		s.modeCtx, s.cancelMode = context.WithCancel(context.Background())
 	}
-	m.mode, m.busyUntil = mode, time.Time{}
+	s.mode, s.busyUntil = mode, time.Time{}
 	if mode == ModeDown {
-		m.server.Close()
-		m.server = nil
+		s.httpServer.Close()
+		s.httpServer = nil
 		return nil
 	}
-	if m.server != nil {
+	if s.httpServer != nil {
 		return nil
 	}
-	l, err := net.Listen("tcp", m.address)
+	l, err := net.Listen("tcp", s.address)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	m.address = l.Addr().String()
-	m.server = &http.Server{Handler: m}
-	go m.server.Serve(&countingListener{l, m.counts})
+	s.address = l.Addr().String()
+	s.httpServer = &http.Server{Handler: s}
+	go s.httpServer.Serve(&countingListener{l, s.counts})
 	return nil
 }
 
 // reserveTurn queues a call behind the earlier ones and returns the end of its service time. It returns false
 // if the call would wait longer than maxQueueDelay.
-func (m *machine) reserveTurn(a *listResponse) (until time.Time, ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (s *discoveryServer) reserveTurn(response *listResponse) (until time.Time, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	if m.busyUntil.Before(now) {
-		m.busyUntil = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	if m.busyUntil.Sub(now) > maxQueueDelay {
+	if s.busyUntil.Sub(now) > maxQueueDelay {
 		return now, false
 	}
-	m.busyUntil = m.busyUntil.Add(m.costs.Call + time.Duration(a.entries)*m.costs.Entry)
-	return m.busyUntil, true
+	s.busyUntil = s.busyUntil.Add(s.costs.Call + time.Duration(response.entries)*s.costs.Entry)
+	return s.busyUntil, true
 }
 
 // isSilent reports whether the machine is in ModeSilent.
-func (m *machine) isSilent() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.mode == ModeSilent
+func (s *discoveryServer) isSilent() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.mode == ModeSilent
 }
 
 // ServeHTTP answers a call for the list.
-func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	m.mu.Lock()
-	modeCtx := m.modeCtx
-	m.mu.Unlock()
+func (s *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	modeCtx := s.modeCtx
+	s.mu.Unlock()
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(modeCtx, cancel)()
-	defer m.counts.calls.Add(1)
-	a, err := m.prepareResponse(ctx, r)
-	if m.isSilent() {
+	defer s.counts.calls.Add(1)
+	response, err := s.prepareResponse(ctx, r)
+	if s.isSilent() {
 		<-ctx.Done()
 		err = errCallAborted
 	}
 	switch {
 	case errors.Is(err, errCallAborted):
-		m.counts.failed.Add(1)
+		s.counts.failed.Add(1)
 		panic(http.ErrAbortHandler) // the connection is reset
 	case errors.Is(err, errQueueTooLong):
-		m.counts.failed.Add(1)
+		s.counts.failed.Add(1)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	case err != nil:
-		m.counts.failed.Add(1)
+		s.counts.failed.Add(1)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if a.fullList {
-		m.counts.fullList.Add(1)
+	if response.fullList {
+		s.counts.fullLists.Add(1)
 	}
-	m.counts.entries.Add(int64(a.entries))
-	if a.entries > 0 {
-		m.counts.body.Add(int64(len(a.body)))
+	s.counts.entries.Add(int64(response.entries))
+	if response.entries > 0 {
+		s.counts.bodyBytes.Add(int64(len(response.body)))
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.Write(a.body) // on an error the caller repeats the call
+	w.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	w.Write(response.body) // on an error the caller repeats the call
 }
 
 var (
@@ -199,7 +199,7 @@
 )
 
 // prepareResponse returns the response to a call after the watch and the simulated service time.
-func (m *machine) prepareResponse(ctx context.Context, r *http.Request) (*listResponse, error) {
+func (s *discoveryServer) prepareResponse(ctx context.Context, r *http.Request) (*listResponse, error) {
 	q := r.URL.Query()
 	if r.URL.Path != "/v1/servers" || r.Method != http.MethodGet {
 		return nil, errors.New("discovery: no such call")
@@ -207,7 +207,7 @@
 	var since uint64
 	var timeout time.Duration
 	if q.Has("since") {
-		m.counts.watches.Add(1)
+		s.counts.watches.Add(1)
 		var err error
 		if since, err = strconv.ParseUint(q.Get("since"), 10, 64); err != nil {
 			return nil, fmt.Errorf("since: %w", err)
@@ -218,11 +218,11 @@
 		}
 		timeout = min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)
 	}
-	a, err := m.awaitNewer(ctx, since, timeout)
+	response, err := s.awaitNewer(ctx, since, timeout)
 	if err != nil {
 		return nil, err
 	}
-	until, ok := m.reserveTurn(a)
+	until, ok := s.reserveTurn(response)
 	if !ok {
 		return nil, errQueueTooLong
 	}
@@ -233,34 +233,34 @@
 			return nil, errCallAborted
 		}
 	}
-	if since != 0 && a.revision != since {
-		m.counts.updates.Add(1)
+	if since != 0 && response.revision != since {
+		s.counts.updates.Add(1)
 	}
-	return a, nil
+	return response, nil
 }
 
 // awaitNewer returns the response for since. If since is the current revision it waits for a newer one, at
 // most for timeout.
-func (m *machine) awaitNewer(ctx context.Context, since uint64, timeout time.Duration) (*listResponse, error) {
-	a, updated, err := m.list.listResponse(since)
-	if err != nil || since == 0 || a.revision != since || timeout == 0 {
-		return a, err
+func (s *discoveryServer) awaitNewer(ctx context.Context, since uint64, timeout time.Duration) (*listResponse, error) {
+	response, updated, err := s.list.listResponse(since)
+	if err != nil || since == 0 || response.revision != since || timeout == 0 {
+		return response, err
 	}
-	m.waiting.Add(1)
-	defer m.waiting.Add(-1)
-	m.counts.waiting.Add(1)
-	defer m.counts.waiting.Add(-1)
+	s.waiting.Add(1)
+	defer s.waiting.Add(-1)
+	s.counts.waiting.Add(1)
+	defer s.counts.waiting.Add(-1)
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-updated:
-		a, _, err = m.list.listResponse(since)
+		response, _, err = s.list.listResponse(since)
 	case <-timer.C:
-		a, _, err = m.list.listResponse(since)
+		response, _, err = s.list.listResponse(since)
 	case <-ctx.Done():
 		err = errCallAborted
 	}
-	return a, err
+	return response, err
 }
 
 // countingListener counts the bytes of the connections it accepts.
@@ -300,18 +300,18 @@
 type Discovery struct {
 	list       *list
 	counts     discoveryCounters
-	machines   []*machine
+	servers    []*discoveryServer
 	lostByZone map[string][]Member // upstreams removed by Lose, by zone
 	mu         sync.Mutex          // guards lostByZone
 }
 
 // DiscoveryConfig configures a discovery service.
 type DiscoveryConfig struct {
-	Machines  int
-	Upstreams int
-	Zones     int
-	Addresses []string // of upstreams, host:port, assigned in rotation
-	Costs     Costs
+	DiscoveryServers  int
+	Upstreams         int
+	Zones             int
+	UpstreamAddresses []string // of upstreams, host:port, assigned in rotation
+	Costs             Costs
 }
 
 // Empty is the argument or reply of an RPC method without one.
@@ -321,29 +321,29 @@
 // once.
 func (d *Discovery) Start(config DiscoveryConfig, addresses *[]string) error {
 	switch {
-	case config.Machines < 1 || config.Machines > maxMachines:
-		return fmt.Errorf("discovery: %d machines, want 1 to %d", config.Machines, maxMachines)
-	case config.Zones < 1 || len(config.Addresses) == 0:
+	case config.DiscoveryServers < 1 || config.DiscoveryServers > maxDiscoveryServers:
+		return fmt.Errorf("discovery: %d machines, want 1 to %d", config.DiscoveryServers, maxDiscoveryServers)
+	case config.Zones < 1 || len(config.UpstreamAddresses) == 0:
 		return errors.New("discovery: at least one zone and one address are required")
 	case d.list != nil:
 		return errors.New("discovery: already started")
 	}
-	d.list, d.lostByZone = newList(config.Upstreams, config.Zones, config.Addresses), map[string][]Member{}
-	for range config.Machines {
-		m, err := newMachine(d.list, &d.counts, "127.0.0.1:0", config.Costs)
+	d.list, d.lostByZone = newList(config.Upstreams, config.Zones, config.UpstreamAddresses), map[string][]Member{}
+	for range config.DiscoveryServers {
+		s, err := newDiscoveryServer(d.list, &d.counts, "127.0.0.1:0", config.Costs)
 		if err != nil {
 			return err
 		}
-		d.machines = append(d.machines, m)
-		*addresses = append(*addresses, m.address)
+		d.servers = append(d.servers, s)
+		*addresses = append(*addresses, s.address)
 	}
 	return nil
 }
 
 // Stop shuts all machines down.
 func (d *Discovery) Stop() {
-	for _, m := range d.machines {
-		m.setMode(ModeDown) // ModeDown never fails
+	for _, s := range d.servers {
+		s.setMode(ModeDown) // ModeDown never fails
 	}
 }
 
@@ -388,25 +388,25 @@
 }
 
 // MachineMode is a machine, by index, and its new mode.
-type MachineMode struct {
-	Machine int
-	Mode    Mode
+type ServerMode struct {
+	Server int
+	Mode   Mode
 }
 
 // Set changes the mode of a machine.
-func (d *Discovery) Set(request MachineMode, _ *Empty) error {
-	if request.Machine < 0 || request.Machine >= len(d.machines) {
-		return fmt.Errorf("discovery: machine %d does not exist", request.Machine)
+func (d *Discovery) Set(request ServerMode, _ *Empty) error {
+	if request.Server < 0 || request.Server >= len(d.servers) {
+		return fmt.Errorf("discovery: machine %d does not exist", request.Server)
 	}
-	return d.machines[request.Machine].setMode(request.Mode)
+	return d.servers[request.Server].setMode(request.Mode)
 }
 
 // Cost changes the simulated service times of all machines.
 func (d *Discovery) Cost(c Costs, _ *Empty) error {
-	for _, m := range d.machines {
-		m.mu.Lock()
-		m.costs = c
-		m.mu.Unlock()
+	for _, s := range d.servers {
+		s.mu.Lock()
+		s.costs = c
+		s.mu.Unlock()
 	}
 	return nil
 }
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	d := &Discovery{}
 	var addresses []string
-	if err := d.Start(DiscoveryConfig{Machines: 1, Upstreams: n, Zones: 2, Addresses: []string{"127.0.0.1:1"},
+	if err := d.Start(DiscoveryConfig{DiscoveryServers: 1, Upstreams: n, Zones: 2, UpstreamAddresses: []string{"127.0.0.1:1"},
 		Costs: costs}, &addresses); err != nil {
 		t.Fatal(err)
 	}
@@ -89,11 +89,11 @@
 // Calls are served one after another, and a call that would wait longer than maxQueueDelay gets 503.
 func TestDiscoveryServesCallsInTurn(t *testing.T) {
 	d, url := startDiscovery(t, 2, Costs{})
-	m := d.machines[0]
-	m.costs = Costs{Call: time.Second, Entry: 10 * time.Second}
-	first, ok := m.reserveTurn(&listResponse{entries: 0})
-	second, ok2 := m.reserveTurn(&listResponse{entries: 0})
-	third, ok3 := m.reserveTurn(&listResponse{entries: 1})
+	server := d.servers[0]
+	server.costs = Costs{Call: time.Second, Entry: 10 * time.Second}
+	first, ok := server.reserveTurn(&listResponse{entries: 0})
+	second, ok2 := server.reserveTurn(&listResponse{entries: 0})
+	third, ok3 := server.reserveTurn(&listResponse{entries: 1})
 	if !ok || !ok2 || !ok3 || second.Sub(first) != time.Second || third.Sub(second) != 11*time.Second {
 		t.Errorf("service times %v and %v, want 1s and 11s", second.Sub(first), third.Sub(first))
 	}
@@ -105,11 +105,11 @@
 
 // A machine that goes down resets its connections and refuses new ones. A silent machine keeps connections
 // open without responses and resets them when it comes up.
-func TestDiscoveryMachineModes(t *testing.T) {
+func TestDiscoveryServerModes(t *testing.T) {
 	d, url := startDiscovery(t, 2, Costs{})
 	set := func(m Mode) {
 		t.Helper()
-		if err := d.Set(MachineMode{0, m}, nil); err != nil {
+		if err := d.Set(ServerMode{0, m}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -140,7 +140,7 @@
 	for d.counts.waiting.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c, err := net.Dial("tcp", d.machines[0].address)
+	c, err := net.Dial("tcp", d.servers[0].address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -20,11 +20,11 @@
 // Size is what runs in a fleet, together with the dimensions that its settings describe.
 type Size struct {
 	FleetDimensions
-	Hollow   int     `json:"hollow"`   // hollow balancers
-	Real     int     `json:"real"`     // real balancers
-	Machines int     `json:"machines"` // machines of discovery
-	Costs    Costs   `json:"costs"`    // of a call to discovery
-	Rate     float64 `json:"rate"`     // requests per second to all real balancers together
+	Hollow           int     `json:"hollow"`   // hollow balancers
+	Real             int     `json:"real"`     // real balancers
+	DiscoveryServers int     `json:"machines"` // machines of discovery
+	Costs            Costs   `json:"costs"`    // of a call to discovery
+	Rate             float64 `json:"rate"`     // requests per second to all real balancers together
 }
 
 const (
@@ -36,22 +36,22 @@
 
 // fleet is a running fleet.
 type fleet struct {
-	size            Size
-	dir             string   // configuration files and temporary directories
-	programs        []string // of the real balancers, assigned in rotation
-	processes       *processGroup
-	discovery       *child
-	addresses       []string                // of the machines of discovery
-	hollow          []*child                // processes of hollow balancers
-	hollowPaths     [][]string              // configuration files of the hollow balancers by process
-	specs           map[string]BalancerSpec // by path of the configuration file
-	realBalancers   []*realBalancer
-	upstreamServers *upstreamServers
-	traffic         *traffic           // nil without real balancers
-	settingsVersion int                // last version written
-	fileHashes      map[string]string  // hashes of the configuration files of this version, by path
-	delivered       []SettingsDelivery // versions delivered since the last forgetChanges
-	stop            context.CancelFunc // ends health checks and client requests
+	size               Size
+	dir                string   // configuration files and temporary directories
+	programs           []string // of the real balancers, assigned in rotation
+	processes          *processGroup
+	discovery          *child
+	discoveryAddresses []string                // of the machines of discovery
+	hollow             []*child                // processes of hollow balancers
+	hollowPaths        [][]string              // configuration files of the hollow balancers by process
+	specs              map[string]BalancerSpec // by path of the configuration file
+	realBalancers      []*realBalancer
+	upstreamServers    *upstreamServers
+	traffic            *traffic           // nil without real balancers
+	settingsVersion    int                // last version written
+	fileHashes         map[string]string  // hashes of the configuration files of this version, by path
+	delivered          []SettingsDelivery // versions delivered since the last forgetChanges
+	stop               context.CancelFunc // ends health checks and client requests
 }
 
 // newFleet starts a fleet and waits until it has settled. If it fails, it stops what it has started.
@@ -73,8 +73,8 @@
 	if f.discovery, err = processes.startRole(RoleDiscovery, "discovery"); err != nil {
 		return f, err
 	}
-	if err = f.discovery.call("Discovery.Start", DiscoveryConfig{Machines: size.Machines, Upstreams: size.Upstreams, Zones: size.Zones,
-		Addresses: f.upstreamServers.hostPorts, Costs: size.Costs}, &f.addresses); err != nil {
+	if err = f.discovery.call("Discovery.Start", DiscoveryConfig{DiscoveryServers: size.DiscoveryServers, Upstreams: size.Upstreams, Zones: size.Zones,
+		UpstreamAddresses: f.upstreamServers.hostPorts, Costs: size.Costs}, &f.discoveryAddresses); err != nil {
 		return f, err
 	}
 	if err = f.assignSpecs(); err != nil {
@@ -116,7 +116,7 @@
 func (f *fleet) assignSpecs() error {
 	total := f.size.Hollow + f.size.Real
 	for i := range total {
-		s := BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: f.addresses[i%len(f.addresses)],
+		s := BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: f.discoveryAddresses[i%len(f.discoveryAddresses)],
 			Zone: zoneName(i % f.size.Zones), Rank: i * f.size.Balancers / total, MemoryMB: balancerMemoryMB}
 		path := filepath.Join(f.dir, s.Name+".json")
 		if i >= f.size.Hollow {
@@ -333,7 +333,7 @@
 }
 
 // summarize computes quantiles of the delays of a number of changes.
-func summarize(changes int, delays Delays) InForce {
+func summarise(changes int, delays Delays) InForce {
 	histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	last := int64(0)
 	for _, us := range delays.Micros {
@@ -354,7 +354,7 @@
 	for {
 		combined, err := f.collectDelays("Hollow.Since", revisions)
 		if err != nil || combined.Missing == 0 || time.Now().After(deadline) {
-			return summarize(len(revisions), combined), err
+			return summarise(len(revisions), combined), err
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -469,9 +469,9 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	wg.Wait()
-	result.Hollow = summarize(1, hollow)
+	result.Hollow = summarise(1, hollow)
 	for _, d := range result.servedDelays {
-		result.Real = append(result.Real, summarize(1, d))
+		result.Real = append(result.Real, summarise(1, d))
 	}
 	return result, err
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -191,11 +191,11 @@
 		}
 		b.mu.Lock()
 		for i, delivery := range deliveries {
-			at := slices.IndexFunc(b.settingsInForce, func(s settingsTime) bool { return versionByHash[s.hash] > i })
-			if at < 0 {
+			index := slices.IndexFunc(b.settingsInForce, func(s settingsTime) bool { return versionByHash[s.hash] > i })
+			if index < 0 {
 				d.Missing++
 			} else {
-				d.Micros = append(d.Micros, max(0, b.settingsInForce[at].at-delivery.At)/1000)
+				d.Micros = append(d.Micros, max(0, b.settingsInForce[index].at-delivery.At)/1000)
 			}
 		}
 		b.mu.Unlock()
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -42,9 +42,9 @@
 )
 
 var (
-	upstreamSizes  = doublingSizes(Upstreams)
-	classSizes     = doublingSizes(Classes)
-	tenantSizes    = doublingSizes(Tenants)
+	upstreamSizes  = doublingSizes(TargetUpstreams)
+	classSizes     = doublingSizes(TargetClasses)
+	tenantSizes    = doublingSizes(TargetTenants)
 	sixteenthSizes = doublingSizes(16)
 )
 
@@ -108,7 +108,7 @@
 		func(n int) (float64, error) { return stepCost(n, fixedTenants, false) }},
 	{"step: the module each second, with an answer that reports its server's rate", "ms", "tenants", lowestBatchNote, tenantSizes,
 		func(n int) (float64, error) { return stepCost(fixedUpstreams, n, true) }},
-	{"tick: the module between steps, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes, tick},
+	{"tick: the module between steps, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes, tickCost},
 	{"change: one upstream drains or is up again", "ms", "upstreams", lowestBatchNote + "; the module alone, not the loop", upstreamSizes, changeCost},
 	{"whole list: applied by the module, nothing changed", "ms", "upstreams", lowestBatchNote, upstreamSizes, fullListCost},
 	{"whole list: decoded", "ms", "upstreams", lowestBatchNote + "; entries of the client's shape, checked and sorted as it does", upstreamSizes,
@@ -131,13 +131,19 @@
 	{"memory: Balancer with its settings", "MB", "tenants", lowestHeapNote, tenantSizes,
 		func(n int) (float64, error) { return balancerHeapMB(fixedUpstreams, fixedClasses, n) }},
 	{"whole configuration: LoadConfig", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes,
-		func(n int) (float64, error) { return loadConfigCost(Classes*n/16, Tenants*n/16, Upstreams*n/16) }},
+		func(n int) (float64, error) {
+			return loadConfigCost(TargetClasses*n/16, TargetTenants*n/16, TargetUpstreams*n/16)
+		}},
 	{"whole configuration: size of the file", "KB", "sixteenths of the fleet ahead", "compact, with the list", sixteenthSizes,
-		func(n int) (float64, error) { return configSizeKB(Classes*n/16, Tenants*n/16, Upstreams*n/16) }},
+		func(n int) (float64, error) {
+			return configSizeKB(TargetClasses*n/16, TargetTenants*n/16, TargetUpstreams*n/16)
+		}},
 	{"whole configuration: New", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes,
-		func(n int) (float64, error) { return newBalancerCost(Classes*n/16, Tenants*n/16) }},
+		func(n int) (float64, error) { return newBalancerCost(TargetClasses*n/16, TargetTenants*n/16) }},
 	{"whole configuration: memory of the Balancer", "MB", "sixteenths of the fleet ahead", lowestHeapNote, sixteenthSizes,
-		func(n int) (float64, error) { return balancerHeapMB(Upstreams*n/16, Classes*n/16, Tenants*n/16) }},
+		func(n int) (float64, error) {
+			return balancerHeapMB(TargetUpstreams*n/16, TargetClasses*n/16, TargetTenants*n/16)
+		}},
 	{"reload: NewPlan, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes, newPlanCost},
 	{"reload: Plan.Since, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes, planSinceCost},
 	{"reload: Reconfigure, on the loop", "us", "sixteenths of the fleet ahead", lowestBatchNote + "; two of them, one class and one tenant changed to and fro", sixteenthSizes,
@@ -146,7 +152,7 @@
 	{"quota: taken for over it, requests through all of n balancers", "%", "balancers", quotaNote, []int{1, 3, 14, 30, 135, 950},
 		func(n int) (float64, error) { return overQuotaPercent(n, n, quotaDuration) }},
 	{"quota: taken for over it, requests through n of 950 balancers", "%", "balancers used", quotaNote, []int{8, 30, 135, 950},
-		func(n int) (float64, error) { return overQuotaPercent(Balancers, n, quotaDuration) }},
+		func(n int) (float64, error) { return overQuotaPercent(TargetBalancers, n, quotaDuration) }},
 }
 
 const quotaNote = "a tenant with a quota of 2.1/s that asks for 80% of it, by chance and evenly; the same each time"
@@ -221,7 +227,7 @@
 	sent, refused int // numbers of calls
 	id            garnettide.RequestID
 	upstream      garnettide.UpstreamID
-	tick          uint64 // token of the first timer that was set, which drives the module's ticks
+	tickToken     uint64 // token of the first timer that was set, which drives the module's ticks
 	timerCount    int
 }
 
@@ -240,7 +246,7 @@
 func (h *recordingHost) Log(string)                                 {}
 func (h *recordingHost) SetTimer(_ time.Duration, token uint64) {
 	if h.timerCount++; h.timerCount == 1 {
-		h.tick = token
+		h.tickToken = token
 	}
 }
 
@@ -248,7 +254,7 @@
 
 // fleetSettings returns settings of the target fleet with the given numbers of classes and tenants.
 func fleetSettings(classes, tenants int) garnettide.Settings {
-	s := garnettide.Settings{Zone: "z1", Balancers: Balancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
+	s := garnettide.Settings{Zone: "z1", Balancers: TargetBalancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
 		Weights: garnettide.WeightNominal, Reports: garnettide.ReportInResponses, Granularity: 5 * time.Millisecond,
 		Limits: garnettide.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 3},
 		Requirements: garnettide.Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3,
@@ -304,7 +310,7 @@
 	for i := range customers {
 		customers[i] = jsonObject{"name": tenantName(i), "quota_rps": 2.1, "share": 0.0000138}
 	}
-	return jsonObject{"az": "z1", "balancers": Balancers, "rank": 17, "granularity_us": 5000, "membership_mode": "on_request",
+	return jsonObject{"az": "z1", "balancers": TargetBalancers, "rank": 17, "granularity_us": 5000, "membership_mode": "on_request",
 		"over_share_worth": 0.1, "weights": "nominal", "worth_by": "request", "profiles": profiles, "tenants": customers,
 		"limits": jsonObject{"cancel": true, "connect_timeout_us": 250000, "keepalive_us": 30000000, "max_attempts": 3,
 			"max_retry_after_us": 2000000, "probes": false, "retry_after": true, "second_copies": true},
@@ -348,19 +354,19 @@
 			b.Outcome(now, garnettide.Outcome{ID: id, Upstream: h.upstream, Latency: 10 * time.Millisecond,
 				Load: garnettide.Load{Fields: garnettide.HasUtil | garnettide.HasRequestRate, Util: 0.3, RequestRate: 10}})
 		}
-		b.Timer(now, h.tick)
+		b.Timer(now, h.tickToken)
 	})), nil
 }
 
 // tick measures the module's check of its upstreams between steps, in ms. The check runs several times within a latency
 // target.
-func tick(upstreams int) (float64, error) {
+func tickCost(upstreams int) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
-	b.Timer(time.Second, h.tick) // runs the step; no other follows, since the time stays the same
-	return milliseconds(cpuPerCall(func() { b.Timer(time.Second, h.tick) })), nil
+	b.Timer(time.Second, h.tickToken) // runs the step; no other follows, since the time stays the same
+	return milliseconds(cpuPerCall(func() { b.Timer(time.Second, h.tickToken) })), nil
 }
 
 // changeCost measures the module's handling of one changed entry, in ms: an upstream drains, or is up again.
@@ -438,7 +444,7 @@
 	if err != nil {
 		return 0, err
 	}
-	now, id, interval := time.Duration(0), garnettide.RequestID(0), time.Second*Balancers/fleetRequestRate
+	now, id, interval := time.Duration(0), garnettide.RequestID(0), time.Second*TargetBalancers/fleetRequestRate
 	perCall := cpuPerCall(func() {
 		id++
 		now += interval / 2
@@ -564,7 +570,7 @@
 // reloadPlans returns two plans for the given number of sixteenths of the target fleet, which differ in one class and
 // one tenant.
 func reloadPlans(sixteenths int) (current, next *garnettide.Plan, err error) {
-	s := fleetSettings(Classes*sixteenths/16, Tenants*sixteenths/16)
+	s := fleetSettings(TargetClasses*sixteenths/16, TargetTenants*sixteenths/16)
 	if current, err = garnettide.NewPlan(s, noYield); err != nil {
 		return nil, nil, err
 	}
@@ -576,7 +582,7 @@
 
 // newPlanCost measures garnettide.NewPlan, in ms.
 func newPlanCost(sixteenths int) (float64, error) {
-	s, err := fleetSettings(Classes*sixteenths/16, Tenants*sixteenths/16), error(nil)
+	s, err := fleetSettings(TargetClasses*sixteenths/16, TargetTenants*sixteenths/16), error(nil)
 	perCall := cpuPerCall(func() {
 		if _, e := garnettide.NewPlan(s, noYield); e != nil {
 			err = e
@@ -611,7 +617,7 @@
 	}
 	toNext, toCurrent := next.Since(current, noYield), current.Since(next, noYield)
 	b := garnettide.NewWithPlan(current, 1, 0, &recordingHost{})
-	b.Members(0, garnettide.ListFull, upstreamList(Upstreams*sixteenths/16))
+	b.Members(0, garnettide.ListFull, upstreamList(TargetUpstreams*sixteenths/16))
 	now := time.Duration(0)
 	return func() {
 		now += time.Millisecond
@@ -632,7 +638,7 @@
 			return nil, err
 		}
 		b := garnettide.NewWithPlan(current, 1, 0, &recordingHost{})
-		b.Members(0, garnettide.ListFull, upstreamList(Upstreams*sixteenths/16))
+		b.Members(0, garnettide.ListFull, upstreamList(TargetUpstreams*sixteenths/16))
 		return pair{b, next}, nil
 	})
 }
@@ -641,7 +647,7 @@
 
 const (
 	tenantQuota      = 2.1
-	quotaUtilization = 0.8
+	quotaUtilisation = 0.8
 	quotaWarmup      = 3000 * time.Second // many times longer than a count of 1 takes to drain at 1/950 of the quota
 	quotaDuration    = 20000 * time.Second
 )
@@ -669,7 +675,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	counted, overQuota, elapsed := 0, 0, 0.0 // elapsed is in seconds
 	for id := garnettide.RequestID(1); ; id++ {
-		elapsed += rng.ExpFloat64() / (tenantQuota * quotaUtilization)
+		elapsed += rng.ExpFloat64() / (tenantQuota * quotaUtilisation)
 		now := time.Duration(elapsed * float64(time.Second))
 		if now > quotaWarmup+duration {
 			return 100 * float64(overQuota) / float64(counted), nil
--- a/internal/scale/inprocess_test.go
+++ b/internal/scale/inprocess_test.go
@@ -127,7 +127,7 @@
 			now := time.Duration(0)
 			return func() {
 				now += time.Second
-				b.Timer(now, h.tick)
+				b.Timer(now, h.tickToken)
 			}
 		}},
 		{"New over classes", func(n int) func() {
@@ -191,7 +191,7 @@
 	for _, c := range []struct {
 		balancers, usedBalancers int
 		maxPercent               float64
-	}{{1, 1, 10}, {3, 3, 20}, {30, 30, 50}, {Balancers, 8, 99.5}} {
+	}{{1, 1, 10}, {3, 3, 20}, {30, 30, 50}, {TargetBalancers, 8, 99.5}} {
 		first, err := overQuotaPercent(c.balancers, c.usedBalancers, duration)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -135,7 +135,7 @@
 // withDefaults returns base with the fields that are set in s.
 func (s Size) withDefaults(base Size) Size {
 	for _, field := range []struct{ to, from *int }{{&base.Balancers, &s.Balancers}, {&base.Upstreams, &s.Upstreams}, {&base.Zones, &s.Zones},
-		{&base.Classes, &s.Classes}, {&base.Tenants, &s.Tenants}, {&base.Hollow, &s.Hollow}, {&base.Machines, &s.Machines}, {&base.Real, &s.Real}} {
+		{&base.Classes, &s.Classes}, {&base.Tenants, &s.Tenants}, {&base.Hollow, &s.Hollow}, {&base.DiscoveryServers, &s.DiscoveryServers}, {&base.Real, &s.Real}} {
 		if *field.from > 0 {
 			*field.to = *field.from
 		}
--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -12,19 +12,19 @@
 // and what clients saw.
 
 const (
-	zoneOutage    = 20 * time.Second // how long the zone is lost
-	recoveryTime  = 12 * time.Second // observed after the end of an event
-	busiestWindow = time.Second      // over which the load on discovery is compared
-	machineOutage = 20 * time.Second // how long the machine of discovery is silent
-	lostZone      = 0                // index
-	lostMachine   = 0                // index
+	zoneOutage       = 20 * time.Second // how long the zone is lost
+	recoveryTime     = 12 * time.Second // observed after the end of an event
+	busiestWindow    = time.Second      // over which the load on discovery is compared
+	serverSilentTime = 20 * time.Second // how long the machine of discovery is silent
+	lostZone         = 0                // index
+	silentServer     = 0                // index
 )
 
 // sceneSize is the default size of a scene's fleet: all upstreams, and as many balancers as two cores can
 // run.
-var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: Upstreams, Zones: 7, Classes: 20,
+var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: TargetUpstreams, Zones: 7, Classes: 20,
 	Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
-	Hollow: 24, Real: 8, Machines: 4, Rate: 240}
+	Hollow: 24, Real: 8, DiscoveryServers: 4, Rate: 240}
 
 // Scene is the result of a scene.
 type Scene struct {
@@ -59,7 +59,7 @@
 	{"settings", playSettings},
 	{"zone", playZone},
 	{"restart", playRestart},
-	{"machine", playMachine},
+	{"machine", playSilentServer},
 	{"cut", playCut},
 }
 
@@ -182,11 +182,11 @@
 		if err != nil {
 			return nil, err
 		}
-		p.SettingsInForce = summarize(changes, hollowDelays)
+		p.SettingsInForce = summarise(changes, hollowDelays)
 		r.logProgress("  settings in force on hollow balancers: p99 %.0f ms, last %.0f ms, missing %d", p.SettingsInForce.P99,
 			p.SettingsInForce.Last, p.SettingsInForce.Missing)
 		for i, d := range realDelays {
-			s := summarize(changes, d)
+			s := summarise(changes, d)
 			p.SettingsServed = append(p.SettingsServed, s)
 			r.logProgress("  new class served by real balancers of program %d: p99 %.0f ms, last %.0f ms, missing %d %v", i+1, s.P99,
 				s.Last, s.Missing, p.NotServed[i])
@@ -289,18 +289,18 @@
 }
 
 // playMachine makes one machine of discovery silent while the list changes, and brings it back.
-func playMachine(r *Run, f *fleet, result *Scene) error {
+func playSilentServer(r *Run, f *fleet, result *Scene) error {
 	result.Figures["balancers at the machine"] = float64(len(slices.Concat(f.selectPaths(func(s BalancerSpec) bool {
-		return s.Discovery == f.addresses[lostMachine]
+		return s.Discovery == f.discoveryAddresses[silentServer]
 	})...)))
 	setMode := func(mode Mode) error {
-		return f.discovery.call("Discovery.Set", MachineMode{lostMachine, mode}, &Empty{})
+		return f.discovery.call("Discovery.Set", ServerMode{silentServer, mode}, &Empty{})
 	}
 	if _, err := r.measurePhase(f, result, "one machine of discovery silent", func(*Phase) ([]RevisionTime, error) {
 		if err := setMode(ModeSilent); err != nil {
 			return nil, err
 		}
-		return f.releaseAtRate(1, machineOutage)
+		return f.releaseAtRate(1, serverSilentTime)
 	}); err != nil {
 		return err
 	}
@@ -317,8 +317,8 @@
 // change.
 func playCut(r *Run, f *fleet, result *Scene) error {
 	setMode := func(mode Mode) error {
-		for i := range f.addresses {
-			if err := f.discovery.call("Discovery.Set", MachineMode{i, mode}, &Empty{}); err != nil {
+		for i := range f.discoveryAddresses {
+			if err := f.discovery.call("Discovery.Set", ServerMode{i, mode}, &Empty{}); err != nil {
 				return err
 			}
 		}
--- a/internal/scale/small_test.go
+++ b/internal/scale/small_test.go
@@ -14,14 +14,14 @@
 
 // smallFleet is a discovery and hollow balancers in this process.
 type smallFleet struct {
-	t          *testing.T
-	discovery  Discovery
-	addresses  []string
-	hollow     Hollow
-	hashes     map[string]string // of the configuration files, by path
-	paths      []string          // configuration files
-	dimensions FleetDimensions
-	version    int // of the settings
+	t                  *testing.T
+	discovery          Discovery
+	discoveryAddresses []string
+	hollow             Hollow
+	hashes             map[string]string // of the configuration files, by path
+	paths              []string          // configuration files
+	dimensions         FleetDimensions
+	version            int // of the settings
 }
 
 // newSmallFleet starts a fleet and waits until each balancer waits in a watch.
@@ -30,7 +30,7 @@
 	s := &smallFleet{t: t, dimensions: FleetDimensions{Balancers: balancers, Upstreams: upstreams, Zones: 3, Classes: 4, Tenants: 10,
 		MaxDiscoveryInterval: 2 * time.Second}}
 	t.Cleanup(s.discovery.Stop)
-	s.must(s.discovery.Start(DiscoveryConfig{Machines: 2, Upstreams: upstreams, Zones: 3, Addresses: []string{"127.0.0.1:1"}}, &s.addresses))
+	s.must(s.discovery.Start(DiscoveryConfig{DiscoveryServers: 2, Upstreams: upstreams, Zones: 3, UpstreamAddresses: []string{"127.0.0.1:1"}}, &s.discoveryAddresses))
 	dir := t.TempDir()
 	for i := range balancers {
 		s.paths = append(s.paths, filepath.Join(dir, fmt.Sprintf("b%d.json", i)))
@@ -50,7 +50,7 @@
 }
 
 // configure writes the next version of the settings for all balancers, with the given machine of discovery.
-func (s *smallFleet) configure(machine int) {
+func (s *smallFleet) configure(server int) {
 	s.t.Helper()
 	var known Listing
 	s.must(s.discovery.Listing(Empty{}, &known))
@@ -59,7 +59,7 @@
 	s.must(err)
 	s.hashes = map[string]string{}
 	for i, path := range s.paths {
-		s.hashes[path], err = template.write(path, BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: s.addresses[machine],
+		s.hashes[path], err = template.write(path, BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: s.discoveryAddresses[server],
 			Zone: zoneName(i % 3), Rank: i, MemoryMB: 64})
 		s.must(err)
 	}
@@ -111,7 +111,7 @@
 // A change of the list costs each balancer one response with one entry, whatever the number of upstreams.
 // Discovery sends as many responses as there are balancers.
 func TestCostOfListChange(t *testing.T) {
-	var upstreams, bytes, balancers, answers []float64
+	var upstreams, bytes, balancers, responses []float64
 	for _, n := range []int{60, 120, 240, 480} {
 		s := newSmallFleet(t, 12, n)
 		for i := range 3 { // drain, remove, replace
@@ -133,12 +133,12 @@
 	for _, n := range []int{6, 12, 24, 48} {
 		s := newSmallFleet(t, n, 60)
 		c := s.applyChange(s.release)
-		balancers, answers = append(balancers, float64(n)), append(answers, float64(c.Updates))
+		balancers, responses = append(balancers, float64(n)), append(responses, float64(c.Updates))
 		want(t, fmt.Sprintf("%d balancers: entries", n), c.Entries, int64(n))
 		s.hollow.StopAll()
 	}
-	if f := FitPoints(balancers, answers); f.Form != Linear || f.WorstError > 0.001 || f.At(1) > 1.001 {
-		t.Errorf("responses per change for %v balancers: %v, %v; want one for each balancer", balancers, answers, f)
+	if f := FitPoints(balancers, responses); f.Form != Linear || f.WorstError > 0.001 || f.At(1) > 1.001 {
+		t.Errorf("responses per change for %v balancers: %v, %v; want one for each balancer", balancers, responses, f)
 	}
 }
 
@@ -162,12 +162,12 @@
 func TestCostOfMovedDiscovery(t *testing.T) {
 	const balancers, upstreams = 12, 60
 	s := newSmallFleet(t, balancers, upstreams)
-	for i, machine := range []int{1, 0} {
+	for i, server := range []int{1, 0} {
 		before := s.discovery.counts.snapshot()
-		s.configure(machine)
+		s.configure(server)
 		s.must(s.hollow.Hangup(s.paths, nil))
 		s.await("all balancers wait at the new machine", func() bool {
-			return s.discovery.machines[machine].waiting.Load() == balancers && s.discovery.machines[1-machine].waiting.Load() == 0
+			return s.discovery.servers[server].waiting.Load() == balancers && s.discovery.servers[1-server].waiting.Load() == 0
 		})
 		c := s.discovery.counts.snapshot().sub(before)
 		want(t, fmt.Sprintf("reload %d: full lists", i), c.FullLists, balancers)
--- a/internal/scale/soak.go
+++ b/internal/scale/soak.go
@@ -74,13 +74,13 @@
 	listen           string
 	list             *list
 	discoveryCounts  discoveryCounters
-	machines         []*machine
-	machine          int // index of the one in the configuration
+	discoveryServers []*discoveryServer
+	serverIndex      int // index of the one in the configuration
 	settingsVersion  int
 	upstreams        []*soakUpstream
 	arrivals         *soakArrivalLog
 	clients          *soakClients
-	idleCrowd        bool
+	hasIdleClients   bool
 	drainAnnouncedAt map[int]time.Time // when discovery got the drain of an upstream, by index
 	discoveryOutage  bool              // discovery was unavailable or moved at some time
 	closeWindows     []soakCloseWindow
@@ -93,8 +93,8 @@
 		processes: &processGroup{dir: dir}, arrivals: &soakArrivalLog{byRequest: map[string][]*soakArrival{}}, drainAnnouncedAt: map[int]time.Time{}}
 	defer s.processes.stopAll()
 	err := s.run()
-	for _, m := range s.machines {
-		m.setMode(ModeDown)
+	for _, d := range s.discoveryServers {
+		d.setMode(ModeDown)
 	}
 	for _, u := range s.upstreams {
 		u.server.Close()
@@ -129,7 +129,7 @@
 	for i := range soakClientCount {
 		clients.Go(func() { s.clients.sendRequests(ctx, rand.New(rand.NewPCG(s.Seed, uint64(i)+1))) })
 	}
-	if s.idleCrowd {
+	if s.hasIdleClients {
 		s.logEvent("%d idle clients connect", soakIdleClients)
 		for range soakIdleClients {
 			clients.Go(func() { s.clients.holdIdleConns(ctx) })
@@ -161,7 +161,7 @@
 
 // prepare starts the upstreams and two discovery servers and writes the first configuration.
 func (s *soak) prepare() error {
-	s.idleCrowd = s.rng.IntN(5) == 0
+	s.hasIdleClients = s.rng.IntN(5) == 0
 	var addresses []string
 	for i := range soakUpstreams {
 		u, err := newSoakUpstream(i, s.arrivals)
@@ -172,11 +172,11 @@
 	}
 	s.list = newList(soakUpstreams, 1, addresses)
 	for range 2 {
-		m, err := newMachine(s.list, &s.discoveryCounts, "127.0.0.1:0", Costs{})
+		server, err := newDiscoveryServer(s.list, &s.discoveryCounts, "127.0.0.1:0", Costs{})
 		if err != nil {
 			return err
 		}
-		s.machines = append(s.machines, m)
+		s.discoveryServers = append(s.discoveryServers, server)
 	}
 	if s.rng.IntN(2) == 0 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,7 +207,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = template.write(s.configPath(), BalancerSpec{Name: "b0", Listen: s.listen, Discovery: s.machines[s.machine].address, Zone: zoneName(0),
+	_, err = template.write(s.configPath(), BalancerSpec{Name: "b0", Listen: s.listen, Discovery: s.discoveryServers[s.serverIndex].address, Zone: zoneName(0),
 		MemoryMB: 128})
 	return err
 }
@@ -232,12 +232,12 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &soakBalancer{child: c, operatorAddress: operatorAddress}
-	s.balancers = append(s.balancers, p)
+	b := &soakBalancer{child: c, operatorAddress: operatorAddress}
+	s.balancers = append(s.balancers, b)
 	s.logEvent("process %d started", cmd.Process.Pid)
 	for waitStart := time.Now(); ; time.Sleep(soakPause) {
-		if p.callOperator(http.MethodGet, "/control/ready") {
-			return p, nil
+		if b.callOperator(http.MethodGet, "/control/ready") {
+			return b, nil
 		}
 		select {
 		case <-c.exited:
@@ -246,14 +246,14 @@
 		}
 		if time.Since(waitStart) > soakReadyTimeout {
 			s.fault("readiness", "", "not ready within %v", soakReadyTimeout)
-			return p, nil
+			return b, nil
 		}
 	}
 }
 
 // callOperator sends a request to the operator's listener and reports whether the response has status 200.
-func (p *soakBalancer) callOperator(method, path string) bool {
-	r, err := http.NewRequest(method, "http://"+p.operatorAddress+path, nil)
+func (b *soakBalancer) callOperator(method, path string) bool {
+	r, err := http.NewRequest(method, "http://"+b.operatorAddress+path, nil)
 	if err != nil {
 		return false
 	}
@@ -276,13 +276,13 @@
 }
 
 // signal sends a signal to a balancer process.
-func (s *soak) signal(p *soakBalancer, sig syscall.Signal) {
-	s.logEvent("%v sent to process %d", sig, p.child.cmd.Process.Pid)
-	p.child.cmd.Process.Signal(sig) // the error is ignored: the process may have ended
+func (s *soak) signal(b *soakBalancer, sig syscall.Signal) {
+	s.logEvent("%v sent to process %d", sig, b.child.cmd.Process.Pid)
+	b.child.cmd.Process.Signal(sig) // the error is ignored: the process may have ended
 }
 
 // randomEvent plays one event that the seed determines.
-func (s *soak) randomEvent(p *soakBalancer) error {
+func (s *soak) randomEvent(b *soakBalancer) error {
 	switch s.rng.IntN(6) {
 	case 0:
 		s.settingsVersion++
@@ -290,34 +290,34 @@
 		if err := s.writeConfig(); err != nil {
 			return err
 		}
-		s.signal(p, syscall.SIGHUP)
+		s.signal(b, syscall.SIGHUP)
 	case 1:
 		s.logEvent("configuration file becomes invalid")
 		if err := os.WriteFile(s.configPath(), []byte("{"), 0o600); err != nil {
 			return fmt.Errorf("write invalid configuration: %w", err)
 		}
-		s.signal(p, syscall.SIGHUP)
+		s.signal(b, syscall.SIGHUP)
 		time.Sleep(soakPause)
 		return s.writeConfig()
 	case 2:
-		return s.moveDiscovery(p)
+		return s.moveDiscovery(b)
 	case 3:
 		s.drainUpstream()
 	case 4:
 		s.logEvent("discovery is unavailable for a short time")
 		s.discoveryOutage = true
-		m := s.machines[s.machine]
-		if err := m.setMode(ModeDown); err != nil {
+		server := s.discoveryServers[s.serverIndex]
+		if err := server.setMode(ModeDown); err != nil {
 			return err
 		}
 		time.Sleep(time.Duration(s.rng.Int64N(int64(soakMaxEventTime))))
-		return m.setMode(ModeUp)
+		return server.setMode(ModeUp)
 	case 5:
 		s.logEvent("balancer is out of service for a short time")
 		from := time.Now()
-		p.callOperator(http.MethodPut, "/control/out-of-service")
+		b.callOperator(http.MethodPut, "/control/out-of-service")
 		time.Sleep(time.Duration(s.rng.Int64N(int64(soakMaxEventTime))))
-		p.callOperator(http.MethodPut, "/control/in-service")
+		b.callOperator(http.MethodPut, "/control/in-service")
 		s.closeWindows = append(s.closeWindows, soakCloseWindow{from, time.Now()})
 	}
 	return nil
@@ -325,19 +325,19 @@
 
 // moveDiscovery changes the configuration to the other discovery server. The previous one stops soakMoveOverlap after the
 // balancer has been signalled.
-func (s *soak) moveDiscovery(p *soakBalancer) error {
+func (s *soak) moveDiscovery(b *soakBalancer) error {
 	s.logEvent("discovery moves to the other server")
 	s.discoveryOutage = true
-	before := s.machines[s.machine]
-	s.machine = 1 - s.machine
-	next := s.machines[s.machine]
+	before := s.discoveryServers[s.serverIndex]
+	s.serverIndex = 1 - s.serverIndex
+	next := s.discoveryServers[s.serverIndex]
 	if err := next.setMode(ModeUp); err != nil {
 		return err
 	}
 	if err := s.writeConfig(); err != nil {
 		return err
 	}
-	s.signal(p, syscall.SIGHUP)
+	s.signal(b, syscall.SIGHUP)
 	time.Sleep(soakMoveOverlap)
 	return before.setMode(ModeDown)
 }
@@ -365,31 +365,31 @@
 
 // terminate ends a process with SIGTERM, in some cases followed by another signal or an operator's call, and with SIGKILL
 // after soakKillDelay.
-func (s *soak) terminate(p *soakBalancer) {
+func (s *soak) terminate(b *soakBalancer) {
 	s.Restarts++
-	p.terminatedAt = time.Now()
-	s.closeWindows = append(s.closeWindows, soakCloseWindow{from: p.terminatedAt})
-	s.signal(p, syscall.SIGTERM)
+	b.terminatedAt = time.Now()
+	s.closeWindows = append(s.closeWindows, soakCloseWindow{from: b.terminatedAt})
+	s.signal(b, syscall.SIGTERM)
 	wait := time.Duration(s.rng.Int64N(int64(soakMaxEventTime / 2)))
 	switch s.rng.IntN(4) {
 	case 0:
 		time.Sleep(wait)
-		s.signal(p, syscall.SIGTERM)
+		s.signal(b, syscall.SIGTERM)
 	case 1:
 		time.Sleep(wait)
-		s.signal(p, syscall.SIGHUP)
+		s.signal(b, syscall.SIGHUP)
 	case 2:
-		s.logEvent("out-of-service call during shutdown succeeded: %v", p.callOperator(http.MethodPut, "/control/out-of-service"))
+		s.logEvent("out-of-service call during shutdown succeeded: %v", b.callOperator(http.MethodPut, "/control/out-of-service"))
 	}
 	select {
-	case <-p.child.exited:
-		s.logEvent("process %d ended: %v", p.child.cmd.Process.Pid, p.child.err)
-		if p.child.err != nil {
-			s.fault("crash", "", "process %d: %v", p.child.cmd.Process.Pid, p.child.err)
+	case <-b.child.exited:
+		s.logEvent("process %d ended: %v", b.child.cmd.Process.Pid, b.child.err)
+		if b.child.err != nil {
+			s.fault("crash", "", "process %d: %v", b.child.cmd.Process.Pid, b.child.err)
 		}
-	case <-time.After(time.Until(p.terminatedAt.Add(soakKillDelay))):
-		s.signal(p, syscall.SIGKILL)
-		<-p.child.exited
+	case <-time.After(time.Until(b.terminatedAt.Add(soakKillDelay))):
+		s.signal(b, syscall.SIGKILL)
+		<-b.child.exited
 	}
 }
 
--- a/internal/scale/soak_check.go
+++ b/internal/scale/soak_check.go
@@ -88,7 +88,7 @@
 	if len(arrivals) > 0 {
 		return true
 	}
-	if !r.firstOnConn || s.idleCrowd {
+	if !r.firstOnConn || s.hasIdleClients {
 		return false
 	}
 	for _, window := range s.closeWindows {
--- a/internal/scale/soak_client.go
+++ b/internal/scale/soak_client.go
@@ -54,19 +54,19 @@
 
 // soakClients records the requests of all clients.
 type soakClients struct {
-	address     string
-	seed        uint64
-	mu          sync.Mutex
-	lastRequest int
-	requests    []*soakRequest
+	address    string
+	seed       uint64
+	mu         sync.Mutex
+	lastSerial int
+	requests   []*soakRequest
 }
 
 // newRequest records a new request with a random class.
 func (s *soakClients) newRequest(rng *rand.Rand) *soakRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastRequest++
-	r := &soakRequest{id: fmt.Sprintf("%08x%08x", s.seed, s.lastRequest), class: soakRequestClasses[rng.IntN(len(soakRequestClasses))]}
+	s.lastSerial++
+	r := &soakRequest{id: fmt.Sprintf("%08x%08x", s.seed, s.lastSerial), class: soakRequestClasses[rng.IntN(len(soakRequestClasses))]}
 	s.requests = append(s.requests, r)
 	return r
 }
--- a/internal/scale/soak_upstream.go
+++ b/internal/scale/soak_upstream.go
@@ -15,11 +15,11 @@
 // The behavior of an upstream for a request is determined by the request ID.
 
 const (
-	soakUpstreamTime  = 5 * time.Millisecond // response time of an upstream
-	soakBehaviorCount = 100                  // behaviors are numbers below this
-	soakHangBelow     = 4                    // below this, an upstream does not respond
-	soakResetBelow    = 7                    // below this, it resets the connection after it has read the request
-	soakErrorBelow    = 9                    // below this, it responds with status 500
+	soakUpstreamTime   = 5 * time.Millisecond // response time of an upstream
+	soakBehaviourCount = 100                  // behaviors are numbers below this
+	soakHangBelow      = 4                    // below this, an upstream does not respond
+	soakResetBelow     = 7                    // below this, it resets the connection after it has read the request
+	soakErrorBelow     = 9                    // below this, it responds with status 500
 )
 
 // soakArrival records the arrival of a request at an upstream.
@@ -73,10 +73,10 @@
 }
 
 // soakBehavior returns a number below soakBehaviorCount that is a hash of the request ID.
-func soakBehavior(id string) int {
+func soakBehaviour(id string) int {
 	h := fnv.New32a()
 	io.WriteString(h, id) // a hash's Write never fails
-	return int(h.Sum32() % soakBehaviorCount)
+	return int(h.Sum32() % soakBehaviourCount)
 }
 
 // ServeHTTP records the arrival of a request and responds as its ID determines.
@@ -92,12 +92,12 @@
 		return
 	}
 	u.arrivals.executed(arrival)
-	switch behavior := soakBehavior(id); {
-	case behavior < soakHangBelow:
+	switch behaviour := soakBehaviour(id); {
+	case behaviour < soakHangBelow:
 		<-r.Context().Done()
-	case behavior < soakResetBelow:
+	case behaviour < soakResetBelow:
 		resetConn(w)
-	case behavior < soakErrorBelow:
+	case behaviour < soakErrorBelow:
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
 		time.Sleep(soakUpstreamTime)
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -140,7 +140,7 @@
 	classes       int // used by requests; excludes the class of the settings version
 	tenants       int
 	clients       []*http.Client // one for each real balancer
-	lastRequest   atomic.Uint64  // serial number of the last request
+	lastSerial    atomic.Uint64  // serial number of the last request
 	inFlight      atomic.Int64
 
 	mu        sync.Mutex
@@ -229,7 +229,7 @@
 
 // send sends one request and records the result. If it cannot connect to a balancer it tries another one.
 func (t *traffic) send() {
-	serial := t.lastRequest.Add(1)
+	serial := t.lastSerial.Add(1)
 	class := int(serial) % t.classes
 	kind := [...]string{"read", "keyed", "unsafe"}[class%3]
 	for attempt, moved := 0, 0; ; attempt++ {
@@ -297,7 +297,7 @@
 // when that was, or the zero time, and the last status.
 func (t *traffic) awaitClass(i int, class string, deadline time.Time) (servedAt time.Time, status string) {
 	for time.Now().Before(deadline) {
-		resp, err := t.clients[i].Do(t.newRequest(t.realBalancers[i], class, "read", t.lastRequest.Add(1)))
+		resp, err := t.clients[i].Do(t.newRequest(t.realBalancers[i], class, "read", t.lastSerial.Add(1)))
 		if err != nil {
 			status = describeRequestError(err)
 		} else {
--- a/internal/scale/vary.go
+++ b/internal/scale/vary.go
@@ -30,28 +30,28 @@
 }
 
 // baseSize is the size of the fleet in slopes, apart from the varied quantity and the options of the run.
-var baseSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: 1000, Zones: 7, Classes: 20, Tenants: 100, MaxDiscoveryInterval: 10 * time.Second},
-	Hollow: 40, Machines: 4, Rate: 240}
+var baseSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: 1000, Zones: 7, Classes: 20, Tenants: 100, MaxDiscoveryInterval: 10 * time.Second},
+	Hollow: 40, DiscoveryServers: 4, Rate: 240}
 
 // releaseRate is the number of list changes per second in a release that replaces all upstreams within an hour, with
 // three changes for each upstream.
-const releaseRate = 3 * Upstreams / 3600.0
+const releaseRate = 3 * TargetUpstreams / 3600.0
 
 // constantRate returns a change rate that does not depend on the varied quantity.
 func constantRate(rate float64) func(float64) float64 { return func(float64) float64 { return rate } }
 
 // variations lists the slopes in the order in which they are run.
 var variations = []variation{
-	{name: "upstreams", variable: "upstreams", x: []float64{1750, 3500, 7000, Upstreams}, changeRate: constantRate(2), measureReloads: true,
+	{name: "upstreams", variable: "upstreams", x: []float64{1750, 3500, 7000, TargetUpstreams}, changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Upstreams, s.Hollow = int(x), 16; return s }},
 	{name: "balancers", variable: "hollow balancers", x: []float64{50, 100, 200, 400}, changeRate: constantRate(2),
 		size: func(s Size, x float64) Size { s.Hollow = int(x); return s }},
-	{name: "tenants", variable: "tenants", x: []float64{Tenants / 8, Tenants / 4, Tenants / 2, Tenants}, changeRate: constantRate(2), measureReloads: true,
+	{name: "tenants", variable: "tenants", x: []float64{TargetTenants / 8, TargetTenants / 4, TargetTenants / 2, TargetTenants}, changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Tenants, s.Hollow = int(x), 8; return s }},
-	{name: "classes", variable: "classes", x: []float64{Classes / 8, Classes / 4, Classes / 2, Classes}, changeRate: constantRate(2), measureReloads: true,
+	{name: "classes", variable: "classes", x: []float64{TargetClasses / 8, TargetClasses / 4, TargetClasses / 2, TargetClasses}, changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Classes, s.Hollow = int(x), 8; return s }},
 	{name: "changes", variable: "changes a second", x: []float64{releaseRate / 8, releaseRate / 4, releaseRate / 2, releaseRate},
-		size: func(s Size, _ float64) Size { s.Upstreams, s.Hollow = Upstreams, 8; return s }, changeRate: func(x float64) float64 { return x }, measureBurst: true},
+		size: func(s Size, _ float64) Size { s.Upstreams, s.Hollow = TargetUpstreams, 8; return s }, changeRate: func(x float64) float64 { return x }, measureBurst: true},
 }
 
 // Point holds the measurements at one point of a slope.
@@ -205,11 +205,11 @@
 // measureSlope measures all points of a slope and fits its curves. If it fails, the result holds the points so far.
 func (r *Run) measureSlope(v variation, phaseDuration time.Duration) (SlopeResult, error) {
 	result := SlopeResult{Name: v.name}
-	for _, at := range v.x {
-		r.logProgress("slope %s: %s = %.4g", v.name, v.variable, at)
-		p, err := r.measurePoint(v, at, phaseDuration)
+	for _, value := range v.x {
+		r.logProgress("slope %s: %s = %.4g", v.name, v.variable, value)
+		p, err := r.measurePoint(v, value, phaseDuration)
 		if err != nil {
-			return result, fmt.Errorf("slope %s at %.4g: %w", v.name, at, err)
+			return result, fmt.Errorf("slope %s at %.4g: %w", v.name, value, err)
 		}
 		result.Points = append(result.Points, p)
 		r.logProgress("  at rest %.0f us/s of a core, %.2f MB live heap; at %.3g changes/s %.0f us per change, %.0f B/s in, in force p99 %.0f ms, last %.0f, missing %d",
@@ -251,15 +251,15 @@
 		if figure.reloadOnly && !v.measureReloads {
 			continue
 		}
-		var sizes, y []float64
+		var x, y []float64
 		note := ""
 		for _, p := range r.Points {
-			sizes, y = append(sizes, p.X), append(y, figure.value(p))
+			x, y = append(x, p.X), append(y, figure.value(p))
 			if p.Saturated {
 				note += fmt.Sprintf("at %.4g the processors were the bound; ", p.X)
 			}
 		}
-		s := NewSlope(figure.name, figure.unit, v.variable, sizes, y)
+		s := NewSlope(figure.name, figure.unit, v.variable, x, y)
 		s.Note = note
 		r.Slopes = append(r.Slopes, s)
 	}
