--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -18,8 +18,8 @@
 		t.Fatalf("building scale: %v\n%s", err, out)
 	}
 	path := filepath.Join(t.TempDir(), "run.json")
-	cmd := exec.Command(program, "--scene", "settings", "--balancers", "2", "--real", "1", "--fleet", "3", "--upstreams", "14", "--rate", "20",
-		"--for", "1s", "--json", path)
+	cmd := exec.Command(program, "--scene", "settings", "--balancers", "2", "--real", "1", "--fleet", "3",
+		"--upstreams", "14", "--rate", "20", "--for", "1s", "--json", path)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
@@ -36,7 +36,8 @@
 		t.Fatalf("got scenes %+v, want one scene with two phases", r.Scenes)
 	}
 	p := r.Scenes[0].Phases[1]
-	if p.Clients.Statuses["200"] == 0 || p.ResourceUse.HollowCPU == 0 || p.ResourceUse.RealRSS == 0 || r.PeakMemoryMB == 0 {
+	if p.Clients.Statuses["200"] == 0 || p.ResourceUse.HollowCPU == 0 || p.ResourceUse.RealRSS == 0 ||
+		r.PeakMemoryMB == 0 {
 		t.Errorf("a measured value is zero: %+v", p)
 	}
 	if !strings.Contains(string(out), "scene settings: 2 hollow and 1 real balancers, 14 upstreams") {
@@ -46,7 +47,8 @@
 
 // TestBadFlags checks that invalid options are rejected before anything is started.
 func TestBadFlags(t *testing.T) {
-	for _, o := range []scale.Options{{Slopes: []string{"x"}, PhaseDuration: 1}, {Scenes: []string{"x"}, PhaseDuration: 1}, {}, {PhaseDuration: -1}} {
+	for _, o := range []scale.Options{{Slopes: []string{"x"}, PhaseDuration: 1},
+		{Scenes: []string{"x"}, PhaseDuration: 1}, {}, {PhaseDuration: -1}} {
 		if r, err := scale.Start(o); err == nil || r != nil {
 			t.Errorf("options %+v: error %v", o, err)
 		}
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -25,8 +25,8 @@
 
 const (
 	maxChildren = 300
-	// maxRunMemoryBytes limits the resident memory of all processes of a run together: half of a machine with
-	// 24 GB.
+	// maxRunMemoryBytes limits the resident memory of all processes of a run together. It is half of the memory
+	// of a host with 24 GiB.
 	maxRunMemoryBytes   = 12 << 30
 	memoryCheckInterval = time.Second
 	childCallTimeout    = 2 * time.Minute
@@ -89,11 +89,11 @@
 
 // processGroup holds the child processes of a run. Its methods may be called from any goroutine.
 type processGroup struct {
-	dir string // log files and fleet directories
+	dir string // of log files and the directories of fleets
 
 	mu              sync.Mutex
 	children        []*child
-	logCount        int
+	logCount        int   // log files created so far
 	peakMemoryBytes int64 // highest result of memoryBytes
 }
 
@@ -213,8 +213,8 @@
 
 var errMemoryLimit = errors.New("memory limit of the run exceeded")
 
-// watchMemory checks the memory until stop is closed. When the limit is exceeded it calls onExceeded once and
-// returns.
+// watchMemory checks the memory at intervals until stop is closed. When the limit is exceeded it calls
+// onExceeded once and returns.
 func (p *processGroup) watchMemory(stop <-chan struct{}, onExceeded func(error)) {
 	ticker := time.NewTicker(memoryCheckInterval)
 	defer ticker.Stop()
@@ -225,7 +225,7 @@
 		case <-ticker.C:
 		}
 		if sum := p.memoryBytes(); sum > maxRunMemoryBytes {
-			onExceeded(fmt.Errorf("%w: %d MB of %d", errMemoryLimit, sum>>20, maxRunMemoryBytes>>20))
+			onExceeded(fmt.Errorf("%w: %d MB, limit %d MB", errMemoryLimit, sum>>20, maxRunMemoryBytes>>20))
 			return
 		}
 	}
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// This file is a stand-in for the discovery service. It serves full lists, watches and changes by revision on
-// one to four machines, each an address of its own, which share one list, and counts calls, watches, entries
-// and bytes. Its processor time is read for the whole process, so it has to run in a separate process for
-// that to be meaningful.
+// This file is a stand-in for the discovery service. Up to maxDiscoveryServers servers, each at an address of
+// its own, share one list of upstreams. They answer calls for the full list and watches for changes since a
+// revision, and count calls, watches, entries and bytes. Processor time is read for the whole process, so it
+// is that of discovery only if discovery runs in a process of its own.
 
 const (
 	maxDiscoveryServers = 4
@@ -24,30 +24,30 @@
 	maxWatchTimeout = 60 * time.Second // upper bound of a watch's timeout_ms
 )
 
-// Mode is how a machine handles calls.
+// Mode is how a discovery server handles calls.
 type Mode string
 
-// Modes of a machine. A machine that comes up again serves the current list.
+// Modes of a discovery server. A server that comes up again serves the current list.
 const (
 	ModeUp     Mode = "up"
 	ModeDown   Mode = "down"   // open connections are reset, new ones are refused
 	ModeSilent Mode = "silent" // connections are accepted and stay open without responses
 )
 
-// Costs are the simulated service times of a call. A machine serves one call at a time. The delay is waited
-// out and uses no processor time.
+// Costs are the simulated service times of a call. A discovery server serves one call at a time. It sleeps for
+// the service time, so no processor time is used.
 type Costs struct {
 	Call  time.Duration `json:"call_ns"`
 	Entry time.Duration `json:"entry_ns"` // added for each entry of the response
 }
 
-// Counts are totals over all machines since the start of discovery.
+// Counts are totals over all discovery servers since their start.
 type Counts struct {
 	Calls     int64 `json:"calls"`     // answered or failed calls
 	Watches   int64 `json:"watches"`   // calls with a since parameter
 	Updates   int64 `json:"news"`      // watches answered with a newer revision
 	FullLists int64 `json:"whole"`     // full lists sent
-	Failed    int64 `json:"failed"`    // calls refused or aborted
+	Failed    int64 `json:"failed"`    // invalid, refused or aborted calls
 	Entries   int64 `json:"entries"`   // list entries sent
 	BodyBytes int64 `json:"body"`      // body bytes of responses with entries
 	BytesIn   int64 `json:"bytes_in"`  // received on connections, including headers
@@ -57,8 +57,9 @@
 
 // sub returns the difference to the earlier counts b. Waiting is a current value and stays that of c.
 func (c Counts) sub(b Counts) Counts {
-	return Counts{c.Calls - b.Calls, c.Watches - b.Watches, c.Updates - b.Updates, c.FullLists - b.FullLists, c.Failed - b.Failed,
-		c.Entries - b.Entries, c.BodyBytes - b.BodyBytes, c.BytesIn - b.BytesIn, c.BytesOut - b.BytesOut, c.Waiting}
+	return Counts{c.Calls - b.Calls, c.Watches - b.Watches, c.Updates - b.Updates, c.FullLists - b.FullLists,
+		c.Failed - b.Failed, c.Entries - b.Entries, c.BodyBytes - b.BodyBytes, c.BytesIn - b.BytesIn,
+		c.BytesOut - b.BytesOut, c.Waiting}
 }
 
 // discoveryCounters are the counters read into Counts.
@@ -66,12 +67,13 @@
 	calls, watches, updates, fullLists, failed, entries, bodyBytes, bytesIn, bytesOut, waiting atomic.Int64
 }
 
+// snapshot returns the current values of the counters.
 func (c *discoveryCounters) snapshot() Counts {
-	return Counts{c.calls.Load(), c.watches.Load(), c.updates.Load(), c.fullLists.Load(), c.failed.Load(), c.entries.Load(), c.bodyBytes.Load(),
-		c.bytesIn.Load(), c.bytesOut.Load(), c.waiting.Load()}
+	return Counts{c.calls.Load(), c.watches.Load(), c.updates.Load(), c.fullLists.Load(), c.failed.Load(),
+		c.entries.Load(), c.bodyBytes.Load(), c.bytesIn.Load(), c.bytesOut.Load(), c.waiting.Load()}
 }
 
-// machine serves the shared list at one address of discovery.
+// discoveryServer serves the shared list at one address.
 type discoveryServer struct {
 	list    *list
 	counts  *discoveryCounters
@@ -85,16 +87,16 @@
 	modeCtx    context.Context // cancelled by mode changes, except from up to silent
 	cancelMode context.CancelFunc
 
-	waiting atomic.Int64 // watches that are waiting at this machine
+	waiting atomic.Int64 // watches that are waiting at this server
 }
 
-// newMachine returns a machine that listens at address. Port 0 selects a free port.
+// newDiscoveryServer returns a server that is up and listens at address. Port 0 selects a free port.
 func newDiscoveryServer(servedList *list, c *discoveryCounters, address string, costs Costs) (*discoveryServer, error) {
 	s := &discoveryServer{list: servedList, counts: c, address: address, costs: costs, mode: ModeDown}
 	return s, s.setMode(ModeUp)
 }
 
-// setMode changes the mode of the machine. Setting the current mode has no effect.
+// setMode changes the mode of the server. Setting the current mode has no effect.
 func (s *discoveryServer) setMode(mode Mode) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,7 @@
 	default:
 		return fmt.Errorf("unknown mode %q", mode)
 	}
-	if s.mode != ModeUp || mode != ModeSilent { // calls in progress stay open when the machine becomes silent
+	if s.mode != ModeUp || mode != ModeSilent { // calls in progress stay open when the server becomes silent
 		if s.cancelMode != nil {
 			s.cancelMode()
 		}
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// reserveTurn queues a call behind the earlier ones and returns the end of its service time. It returns false
-// if the call would wait longer than maxQueueDelay.
+// reserveTurn queues a call behind the earlier ones and returns the end of its service time. ok is false if
+// the call would wait longer than maxQueueDelay.
 func (s *discoveryServer) reserveTurn(response *listResponse) (until time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +149,7 @@
 	return s.busyUntil, true
 }
 
-// isSilent reports whether the machine is in ModeSilent.
+// isSilent reports whether the server is in ModeSilent.
 func (s *discoveryServer) isSilent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -269,6 +271,7 @@
 	counts *discoveryCounters
 }
 
+// Accept returns the next connection, whose bytes are counted.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -314,15 +317,15 @@
 	Costs             Costs
 }
 
-// Empty is the argument or reply of an RPC method without one.
+// Empty stands for the argument or the reply of an RPC method that has none.
 type Empty struct{}
 
-// Start creates the list and the machines, and replies with the addresses of the machines. It can be called
+// Start creates the list and the servers, and replies with the addresses of the servers. It can be called
 // once.
 func (d *Discovery) Start(config DiscoveryConfig, addresses *[]string) error {
 	switch {
 	case config.DiscoveryServers < 1 || config.DiscoveryServers > maxDiscoveryServers:
-		return fmt.Errorf("discovery: %d machines, want 1 to %d", config.DiscoveryServers, maxDiscoveryServers)
+		return fmt.Errorf("discovery: %d servers, want 1 to %d", config.DiscoveryServers, maxDiscoveryServers)
 	case config.Zones < 1 || len(config.UpstreamAddresses) == 0:
 		return errors.New("discovery: at least one zone and one address are required")
 	case d.list != nil:
@@ -340,7 +343,7 @@
 	return nil
 }
 
-// Stop shuts all machines down.
+// Stop shuts all servers down.
 func (d *Discovery) Stop() {
 	for _, s := range d.servers {
 		s.setMode(ModeDown) // ModeDown never fails
@@ -359,13 +362,13 @@
 	return nil
 }
 
-// Zone selects upstreams of a zone.
+// Zone selects upstreams of a zone. Regain ignores MaxUpstreams.
 type Zone struct {
 	Name         string
 	MaxUpstreams int // 0: all
 }
 
-// Lose removes upstreams of a zone from the list in one revision.
+// Lose removes upstreams of a zone that are up from the list in one revision.
 func (d *Discovery) Lose(z Zone, reply *RevisionTime) error {
 	if z.MaxUpstreams == 0 {
 		z.MaxUpstreams = len(d.list.listing().Members)
@@ -387,21 +390,21 @@
 	return nil
 }
 
-// MachineMode is a machine, by index, and its new mode.
+// ServerMode is a discovery server, by index, and its new mode.
 type ServerMode struct {
 	Server int
 	Mode   Mode
 }
 
-// Set changes the mode of a machine.
+// Set changes the mode of a discovery server.
 func (d *Discovery) Set(request ServerMode, _ *Empty) error {
 	if request.Server < 0 || request.Server >= len(d.servers) {
-		return fmt.Errorf("discovery: machine %d does not exist", request.Server)
+		return fmt.Errorf("discovery: server %d does not exist", request.Server)
 	}
 	return d.servers[request.Server].setMode(request.Mode)
 }
 
-// Cost changes the simulated service times of all machines.
+// Cost changes the simulated service times of all servers.
 func (d *Discovery) Cost(c Costs, _ *Empty) error {
 	for _, s := range d.servers {
 		s.mu.Lock()
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// startDiscovery starts a discovery with one machine and n upstreams and returns the URL of its list.
+// startDiscovery starts a stand-in discovery with one server and n upstreams and returns the URL of its list.
 func startDiscovery(t *testing.T, n int, costs Costs) (*Discovery, string) {
 	t.Helper()
 	d := &Discovery{}
 	var addresses []string
-	if err := d.Start(DiscoveryConfig{DiscoveryServers: 1, Upstreams: n, Zones: 2, UpstreamAddresses: []string{"127.0.0.1:1"},
-		Costs: costs}, &addresses); err != nil {
+	if err := d.Start(DiscoveryConfig{DiscoveryServers: 1, Upstreams: n, Zones: 2,
+		UpstreamAddresses: []string{"127.0.0.1:1"}, Costs: costs}, &addresses); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Stop)
@@ -63,13 +63,15 @@
 	}
 	var revision RevisionTime
 	d.Release(Empty{}, &revision)
-	if list := <-received; list.Complete || list.Revision != 2 || len(list.Members) != 1 || list.Members[0].Phase != "draining" {
+	if list := <-received; list.Complete || list.Revision != 2 || len(list.Members) != 1 ||
+		list.Members[0].Phase != "draining" {
 		t.Errorf("waiting watch: %+v; want one draining upstream", list)
 	}
 	d.Release(Empty{}, &revision)
 	d.Release(Empty{}, &revision)
 	list, _, err := getListing(url + "?since=1&timeout_ms=60000")
-	if err != nil || list.Revision != 4 || len(list.Members) != 2 || list.Members[0].Phase != "up" || list.Members[1].Phase != "removed" {
+	if err != nil || list.Revision != 4 || len(list.Members) != 2 || list.Members[0].Phase != "up" ||
+		list.Members[1].Phase != "removed" {
 		t.Errorf("after three changes of two upstreams: %v, %+v; want the newest state of each", err, list)
 	}
 	if list, _, _ := getListing(url + "?since=99&timeout_ms=1"); !list.Complete {
@@ -78,7 +80,8 @@
 	for range maxLoggedChanges + 1 {
 		d.Release(Empty{}, &revision)
 	}
-	if list, _, _ := getListing(url + "?since=2&timeout_ms=1"); !list.Complete || len(list.Members) != 9 && len(list.Members) != 10 {
+	if list, _, _ := getListing(url + "?since=2&timeout_ms=1"); !list.Complete ||
+		len(list.Members) != 9 && len(list.Members) != 10 {
 		t.Errorf("revision older than the change log: %+v; want the full list", list)
 	}
 	if _, status, _ := getListing(url + "?since=x&timeout_ms=1"); status != http.StatusBadRequest {
@@ -103,7 +106,7 @@
 	want(t, "failed", d.counts.failed.Load(), 1)
 }
 
-// A machine that goes down resets its connections and refuses new ones. A silent machine keeps connections
+// A server that goes down resets its connections and refuses new ones. A silent server keeps connections
 // open without responses and resets them when it comes up.
 func TestDiscoveryServerModes(t *testing.T) {
 	d, url := startDiscovery(t, 2, Costs{})
@@ -127,16 +130,16 @@
 	ended := watch()
 	set(ModeDown)
 	if err := <-ended; err == nil {
-		t.Error("a watch was answered after its machine went down")
+		t.Error("a watch was answered after its server went down")
 	}
 	if _, _, err := getListing(url); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("call to a machine that is down: %v; want connection refused", err)
+		t.Errorf("call to a server that is down: %v; want connection refused", err)
 	}
 	set(ModeUp)
 	ended = watch()
 	set(ModeSilent)
 	var revision RevisionTime
-	d.Release(Empty{}, &revision) // must not be reported by the silent machine
+	d.Release(Empty{}, &revision) // must not be reported by the silent server
 	for d.counts.waiting.Load() > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -148,7 +151,7 @@
 	fmt.Fprintf(c, "GET /v1/servers HTTP/1.1\r\nHost: x\r\n\r\n")
 	select {
 	case err := <-ended:
-		t.Errorf("watch of a silent machine ended: %v", err)
+		t.Errorf("watch of a silent server ended: %v", err)
 	default:
 	}
 	set(ModeUp)
@@ -156,13 +159,14 @@
 		t.Error("a watch from before the silent mode was answered")
 	}
 	if x, _, err := getListing(url); err != nil || x.Revision != 2 {
-		t.Errorf("call after the machine is up again: %v, %+v; want revision 2", err, x)
+		t.Errorf("call after the server is up again: %v, %+v; want revision 2", err, x)
 	}
 }
 
 // The programs for operators depend only on the standard library and on this module, without the scale test.
 func TestProgramsDoNotDependOnScale(t *testing.T) {
-	cmd := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", "./cmd/olivearch", "./cmd/clayladder-sim")
+	cmd := exec.Command("go", "list", "-deps", "-f", "{{if not .Standard}}{{.ImportPath}}{{end}}", "./cmd/olivearch",
+		"./cmd/clayladder-sim")
 	cmd.Dir = filepath.Join("..", "..")
 	out, err := cmd.Output()
 	if err != nil {
--- a/internal/scale/files.go
+++ b/internal/scale/files.go
@@ -51,9 +51,11 @@
 	b.WriteString(`"limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":200000,"keepalive_us":60000000,"probes":false,` +
 		`"retry_after":true,"max_retry_after_us":2000000,"second_copies":false},`)
 	fmt.Fprintf(&b, `"obligations":{"answer_slack_us":50000,"ask_within_us":%d,"cold_from":0.3,"drain_grace_us":500000,`+
-		`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3},"profiles":[`, dimensions.MaxDiscoveryInterval.Microseconds())
+		`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3},"profiles":[`,
+		dimensions.MaxDiscoveryInterval.Microseconds())
 	for i := range dimensions.Classes - 1 {
-		repeat := [...]string{`"read_like"`, `"idempotency_key","group":"all","memory_span_us":9000000`, `"non_idempotent"`}[i%3]
+		repeat := [...]string{`"read_like"`, `"idempotency_key","group":"all","memory_span_us":9000000`,
+			`"non_idempotent"`}[i%3]
 		fmt.Fprintf(&b, `{"name":"c%d","target_us":250000,"give_up_us":750000,"worth":1,"repeat":%s},`, i, repeat)
 	}
 	fmt.Fprintf(&b, `{"name":"%s","target_us":250000,"give_up_us":750000,"worth":1,"repeat":"read_like"}],"tenants":[`,
@@ -76,8 +78,8 @@
 	return &settingsTemplate{shared: b.Bytes(), known: encoded}, nil
 }
 
-// write atomically replaces the configuration file of a balancer and returns its hash in the form that
-// balancers report.
+// write atomically replaces the configuration file of a balancer. It returns the hash of the file in the form
+// that balancers report.
 func (s *settingsTemplate) write(path string, spec BalancerSpec) (hash string, err error) {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%016x","limits":{"cores":1,"memory_mb":%d,"sockets":1024},"known":`,
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -1,6 +1,6 @@
-// Package scale measures how a balancer's resource use grows with the size of the fleet. It fits a growth curve to the
-// measurements, from which the use at sizes beyond one machine is extrapolated. It also has a soak test of restarts.
-// The balancer's program does not import this package.
+// Package scale measures how a balancer's resource use grows with the size of the fleet. It fits a growth
+// curve to the measurements, from which the use at sizes beyond one machine is extrapolated. It also has a
+// soak test of restarts. The balancer's program does not import this package.
 package scale
 
 import (
@@ -91,8 +91,8 @@
 	if f.Form == Constant {
 		return "constant " + digits(f.Intercept)
 	}
-	return fmt.Sprintf("%s %s + %s*%s", f.Form, digits(f.Intercept), digits(f.Coefficient), map[Form]string{Linear: "n", NLogN: "n*ln(n)",
-		Square: "n*n"}[f.Form])
+	return fmt.Sprintf("%s %s + %s*%s", f.Form, digits(f.Intercept), digits(f.Coefficient),
+		map[Form]string{Linear: "n", NLogN: "n*ln(n)", Square: "n*n"}[f.Form])
 }
 
 // digits formats x with three significant digits.
@@ -111,8 +111,9 @@
 	return 0
 }
 
-// fitForm returns the least-squares fit of one form. Each point is weighted by the inverse of its squared value, which
-// makes errors relative. Values below a thousandth of the largest are weighted as if they were that large.
+// fitForm returns the least-squares fit of one form. Each point is weighted by the inverse of its squared
+// value, which makes errors relative. Values below a thousandth of the largest are weighted as if they were
+// that large.
 func fitForm(form Form, x, y []float64) Fit {
 	largest := 0.0
 	for _, v := range y {
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -32,7 +32,8 @@
 		{"constant", Constant, func(float64) float64 { return 40 }, fitSizes},
 		{"linear", Linear, func(n float64) float64 { return 100 + 0.2*n }, fitSizes},
 		{"linear without intercept", Linear, func(n float64) float64 { return 3 * n }, fitSizes},
-		{"n log n over a wide range", NLogN, func(n float64) float64 { return n * math.Log(n) }, []float64{2, 16, 256, 4096, 65536}},
+		{"n log n over a wide range", NLogN,
+			func(n float64) float64 { return n * math.Log(n) }, []float64{2, 16, 256, 4096, 65536}},
 		{"square", Square, func(n float64) float64 { return 5 + 0.001*n*n }, fitSizes},
 	} {
 		for _, errs := range [][]float64{nil, noise} {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -22,7 +22,7 @@
 	FleetDimensions
 	Hollow           int     `json:"hollow"`   // hollow balancers
 	Real             int     `json:"real"`     // real balancers
-	DiscoveryServers int     `json:"machines"` // machines of discovery
+	DiscoveryServers int     `json:"machines"` // discovery servers
 	Costs            Costs   `json:"costs"`    // of a call to discovery
 	Rate             float64 `json:"rate"`     // requests per second to all real balancers together
 }
@@ -30,18 +30,18 @@
 const (
 	hollowPerProcess = 200 // hollow balancers in one process, at most
 	settleTimeout    = 90 * time.Second
-	inForceTimeout   = 11 * time.Second // required time until a change is in force everywhere
-	balancerMemoryMB = 256              // required memory limit of a balancer
+	inForceTimeout   = 11 * time.Second // a change has to be in force everywhere within this time
+	balancerMemoryMB = 256              // memory limit in the configuration of a balancer
 )
 
-// fleet is a running fleet.
+// fleet is a running fleet: discovery, hollow and real balancers, upstreams and clients.
 type fleet struct {
 	size               Size
 	dir                string   // configuration files and temporary directories
 	programs           []string // of the real balancers, assigned in rotation
 	processes          *processGroup
 	discovery          *child
-	discoveryAddresses []string                // of the machines of discovery
+	discoveryAddresses []string                // of the discovery servers
 	hollow             []*child                // processes of hollow balancers
 	hollowPaths        [][]string              // configuration files of the hollow balancers by process
 	specs              map[string]BalancerSpec // by path of the configuration file
@@ -73,8 +73,9 @@
 	if f.discovery, err = processes.startRole(RoleDiscovery, "discovery"); err != nil {
 		return f, err
 	}
-	if err = f.discovery.call("Discovery.Start", DiscoveryConfig{DiscoveryServers: size.DiscoveryServers, Upstreams: size.Upstreams, Zones: size.Zones,
-		UpstreamAddresses: f.upstreamServers.hostPorts, Costs: size.Costs}, &f.discoveryAddresses); err != nil {
+	if err = f.discovery.call("Discovery.Start", DiscoveryConfig{DiscoveryServers: size.DiscoveryServers,
+		Upstreams: size.Upstreams, Zones: size.Zones, UpstreamAddresses: f.upstreamServers.hostPorts,
+		Costs: size.Costs}, &f.discoveryAddresses); err != nil {
 		return f, err
 	}
 	if err = f.assignSpecs(); err != nil {
@@ -111,13 +112,14 @@
 	return f, f.awaitSettled()
 }
 
-// assignSpecs gives each balancer a name, a zone, a machine of discovery and a rank. Ranks are spread over
+// assignSpecs gives each balancer a name, a zone, a discovery server and a rank. Ranks are spread over
 // those of the settings.
 func (f *fleet) assignSpecs() error {
 	total := f.size.Hollow + f.size.Real
 	for i := range total {
-		s := BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: f.discoveryAddresses[i%len(f.discoveryAddresses)],
-			Zone: zoneName(i % f.size.Zones), Rank: i * f.size.Balancers / total, MemoryMB: balancerMemoryMB}
+		s := BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1",
+			Discovery: f.discoveryAddresses[i%len(f.discoveryAddresses)],
+			Zone:      zoneName(i % f.size.Zones), Rank: i * f.size.Balancers / total, MemoryMB: balancerMemoryMB}
 		path := filepath.Join(f.dir, s.Name+".json")
 		if i >= f.size.Hollow {
 			var err error
@@ -223,6 +225,7 @@
 	memoryBytes int64
 }
 
+// readDiscovery reads the counts and the usage of discovery.
 func (f *fleet) readDiscovery() (DiscoveryReading, error) {
 	var r DiscoveryReading
 	err := f.discovery.call("Discovery.Read", Empty{}, &r)
@@ -258,7 +261,7 @@
 }
 
 // ResourceUse is the resource use between two readings. Figures of balancers are for one balancer, on
-// average, unless stated otherwise.
+// average, unless stated otherwise. An MB is 2^20 bytes.
 type ResourceUse struct {
 	Seconds float64 `json:"seconds"`
 
@@ -270,7 +273,7 @@
 	RealRSS      float64 `json:"real_rss_mb"`            // the largest of the real balancers
 	In           float64 `json:"in_bytes_per_s"`         // from discovery to one balancer, including headers
 	Out          float64 `json:"out_bytes_per_s"`        // from one balancer to discovery, including headers
-	DiscoveryCPU float64 `json:"discovery_cpu_us_per_s"` // all machines, which share one process
+	DiscoveryCPU float64 `json:"discovery_cpu_us_per_s"` // of all discovery servers, which share one process
 	Calls        float64 `json:"calls_per_s"`            // to discovery
 	Updates      float64 `json:"news_per_s"`             // watches answered with a newer revision
 	FullLists    float64 `json:"whole_lists"`
@@ -292,9 +295,11 @@
 	counts, seconds := after.discovery.Counts.sub(before.discovery.Counts), after.at.Sub(before.at).Seconds()
 	balancers := float64(f.size.Hollow + f.size.Real)
 	use := ResourceUse{Seconds: seconds, In: float64(counts.BytesOut) / seconds / balancers,
-		Out: float64(counts.BytesIn) / seconds / balancers, DiscoveryCPU: microseconds(after.discovery.CPU-before.discovery.CPU) / seconds,
-		Calls: float64(counts.Calls) / seconds, Updates: float64(counts.Updates) / seconds, FullLists: float64(counts.FullLists),
-		Failed: float64(counts.Failed), DiscoveryOut: float64(counts.BytesOut) / seconds,
+		Out:          float64(counts.BytesIn) / seconds / balancers,
+		DiscoveryCPU: microseconds(after.discovery.CPU-before.discovery.CPU) / seconds,
+		Calls:        float64(counts.Calls) / seconds, Updates: float64(counts.Updates) / seconds,
+		FullLists: float64(counts.FullLists), Failed: float64(counts.Failed),
+		DiscoveryOut: float64(counts.BytesOut) / seconds,
 		DiscoveryRSS: float64(after.discovery.RSS) / bytesPerMB, Memory: float64(after.memoryBytes) / bytesPerMB}
 	for i := range after.hollow {
 		use.HollowCPU += microseconds(after.hollow[i].CPU-before.hollow[i].CPU) / seconds
@@ -319,11 +324,12 @@
 	return use
 }
 
+// microseconds returns d in µs.
 func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
 // --- Time until changes are in force ---
 
-// InForce summarizes how long changes took to be in force on balancers, counted from when they were made.
+// InForce summarises how long changes took to be in force on balancers, counted from when they were made.
 type InForce struct {
 	Changes int     `json:"changes"` // 0: none measured
 	P50     float64 `json:"p50_ms"`
@@ -332,16 +338,16 @@
 	Missing int     `json:"missing"` // pairs of a change and a balancer where it was not in force before the timeout
 }
 
-// summarize computes quantiles of the delays of a number of changes.
+// summarise computes quantiles of the delays of a number of changes.
 func summarise(changes int, delays Delays) InForce {
 	histogram := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	last := int64(0)
 	for _, us := range delays.Micros {
-		histogram.RecordValue(max(us, 1)) // no run lasts an hour
+		histogram.RecordValue(max(us, 1)) // delays are shorter than the maximum of an hour
 		last = max(last, us)
 	}
-	return InForce{Changes: changes, P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000,
-		Last: float64(last) / 1000, Missing: delays.Missing}
+	return InForce{Changes: changes, P50: float64(histogram.ValueAtQuantile(50)) / 1000,
+		P99: float64(histogram.ValueAtQuantile(99)) / 1000, Last: float64(last) / 1000, Missing: delays.Missing}
 }
 
 // awaitInForce returns how long revisions of the list took to be in force on the hollow balancers. It waits
@@ -372,14 +378,15 @@
 			err := c.call(method, args, &d)
 			mu.Lock()
 			defer mu.Unlock()
-			combined.Micros, combined.Missing, errs = append(combined.Micros, d.Micros...), combined.Missing+d.Missing, append(errs, err)
+			combined.Micros, combined.Missing, errs = append(combined.Micros, d.Micros...), combined.Missing+d.Missing,
+				append(errs, err)
 		})
 	}
 	wg.Wait()
 	return combined, errors.Join(errs...)
 }
 
-// forgetChanges drops the records of changes so far, here and on the hollow balancers.
+// forgetChanges drops the records of delivered settings here and of list revisions on the hollow balancers.
 func (f *fleet) forgetChanges() error {
 	f.delivered = nil
 	for _, c := range f.hollow {
@@ -390,8 +397,8 @@
 	return nil
 }
 
-// releaseAtRate makes changes of a rolling release, rate per second, for duration and returns their
-// revisions. With rate 0 it only waits.
+// releaseAtRate makes the changes of a rolling release, rate of them per second, for duration and returns
+// their revisions. With rate 0 it only waits.
 func (f *fleet) releaseAtRate(rate float64, duration time.Duration) ([]RevisionTime, error) {
 	var revisions []RevisionTime
 	start := time.Now()
@@ -417,9 +424,9 @@
 type Reload struct {
 	Hollow    InForce        `json:"hollow"` // until the settings were in force, as reported by the balancers
 	Real      []InForce      `json:"real"`   // until a request of the new class was served, by program
-	NotServed []StatusCounts `json:"wrong"`  // last statuses of these requests on balancers that never served one, by program
+	NotServed []StatusCounts `json:"wrong"`  // last status on each balancer that served none, by program
 
-	servedDelays []Delays // summarized in Real, by program
+	servedDelays []Delays // summarised in Real, by program
 }
 
 // StatusCounts counts requests by status.
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -19,9 +19,9 @@
 //
 // The processor time and the live heap of one balancer are those of the process divided by the number of
 // balancers. Because the balancers share a heap, garbage collection costs each of them less than in a process
-// of its own, where its memory limit and pacing differ. A change reaches all of them at once, so the time
-// until the last one has it in force includes the work of the others, which separate machines would do in
-// parallel.
+// of its own, which has its own memory limit and garbage collector pacing. A change reaches all of them at
+// once, so the time until the last one has it in force includes the work of the others, which separate
+// machines would do in parallel.
 type Hollow struct {
 	mu        sync.Mutex                 // guards balancers
 	balancers map[string]*hollowBalancer // by path of the configuration file
@@ -65,8 +65,8 @@
 	})
 }
 
-// Hangup has balancers read their files again, as SIGHUP does. It has no effect on a balancer that has yet to
-// handle an earlier call.
+// Hangup has balancers read their files again, as SIGHUP does. It has no effect on a balancer that has not
+// handled an earlier call yet.
 func (h *Hollow) Hangup(paths []string, _ *Empty) error {
 	return h.forEach(paths, func(b *hollowBalancer) error {
 		select {
@@ -103,6 +103,7 @@
 	}
 }
 
+// start starts the balancer with its configuration file. The caller holds Hollow.mu.
 func (b *hollowBalancer) start() error {
 	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": b.path}[name] }
 	c, err := proxy.LoadConfig(getenv)
@@ -129,6 +130,7 @@
 	return nil
 }
 
+// stop stops the balancer if it is running. The caller holds Hollow.mu.
 func (b *hollowBalancer) stop() {
 	if b.control != nil {
 		b.cancel()
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -48,7 +48,7 @@
 	sixteenthSizes = doublingSizes(16)
 )
 
-// doublingSizes returns five sizes up to largest, each twice the one before.
+// doublingSizes returns five sizes up to largest, each about twice the one before.
 func doublingSizes(largest int) []int {
 	return []int{largest / 16, largest / 8, largest / 4, largest / 2, largest}
 }
@@ -56,9 +56,10 @@
 // inProcessRuns is how often a run measures all in-process slopes.
 const inProcessRuns = 3
 
-// InProcessSlopes measures all in-process slopes the given number of times and takes the lowest figure at each point,
-// since other processes use the machine too. If progress is not nil, it is called with the name of each slope before it
-// is measured. A slope that could not be measured has no points, and its Note holds the reason.
+// InProcessSlopes measures all in-process slopes the given number of times and takes the lowest figure at
+// each point, since other processes use the machine too. If progress is not nil, it is called with the name
+// of each slope before it is measured. A slope that could not be measured has no points, and its Note holds
+// the reason.
 func InProcessSlopes(runs int, progress func(string)) []Slope {
 	var slopes []Slope
 	for run := range runs {
@@ -106,24 +107,36 @@
 var inProcessMeasurements = []measurement{
 	{"step: the module each second, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes,
 		func(n int) (float64, error) { return stepCost(n, fixedTenants, false) }},
-	{"step: the module each second, with an answer that reports its server's rate", "ms", "tenants", lowestBatchNote, tenantSizes,
-		func(n int) (float64, error) { return stepCost(fixedUpstreams, n, true) }},
+	{"step: the module each second, with an answer that reports its server's rate", "ms", "tenants", lowestBatchNote,
+		tenantSizes, func(n int) (float64, error) { return stepCost(fixedUpstreams, n, true) }},
 	{"tick: the module between steps, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes, tickCost},
-	{"change: one upstream drains or is up again", "ms", "upstreams", lowestBatchNote + "; the module alone, not the loop", upstreamSizes, changeCost},
-	{"whole list: applied by the module, nothing changed", "ms", "upstreams", lowestBatchNote, upstreamSizes, fullListCost},
-	{"whole list: decoded", "ms", "upstreams", lowestBatchNote + "; entries of the client's shape, checked and sorted as it does", upstreamSizes,
-		listDecodeCost},
+	{"change: one upstream drains or is up again", "ms", "upstreams",
+		lowestBatchNote + "; the module alone, not the loop", upstreamSizes, changeCost},
+	{"whole list: applied by the module, nothing changed", "ms", "upstreams", lowestBatchNote, upstreamSizes,
+		fullListCost},
+	{"whole list: decoded", "ms", "upstreams",
+		lowestBatchNote + "; entries of the client's shape, checked and sorted as it does", upstreamSizes, listDecodeCost},
 	{"whole list: size", "KB", "upstreams", "as discovery would write it, not indented", upstreamSizes, listSizeKB},
-	{"request: taken, sent and answered", "us", "upstreams", lowestBatchNote + "; the module alone", upstreamSizes, requestCost},
-	{"New", "ms", "classes", lowestBatchNote, classSizes, func(n int) (float64, error) { return newBalancerCost(n, fixedTenants) }},
-	{"New", "ms", "tenants", lowestBatchNote, tenantSizes, func(n int) (float64, error) { return newBalancerCost(fixedClasses, n) }},
-	{"settings: LoadConfig", "ms", "classes", lowestBatchNote, classSizes, func(n int) (float64, error) { return loadConfigCost(n, fixedTenants, 0) }},
-	{"settings: LoadConfig", "ms", "tenants", lowestBatchNote, tenantSizes, func(n int) (float64, error) { return loadConfigCost(fixedClasses, n, 0) }},
-	{"settings: wire.DecodeSettings", "ms", "classes", lowestBatchNote, classSizes, func(n int) (float64, error) { return decodeSettingsCost(n, fixedTenants) }},
-	{"settings: wire.DecodeSettings", "ms", "tenants", lowestBatchNote, tenantSizes, func(n int) (float64, error) { return decodeSettingsCost(fixedClasses, n) }},
-	{"settings: size of the file", "KB", "classes", "compact", classSizes, func(n int) (float64, error) { return configSizeKB(n, fixedTenants, 0) }},
-	{"settings: size of the file", "KB", "tenants", "compact", tenantSizes, func(n int) (float64, error) { return configSizeKB(fixedClasses, n, 0) }},
-	{"settings: allocated by LoadConfig", "MB", "tenants", "what is allocated in all, freed meanwhile or not", tenantSizes, loadConfigAllocatedMB},
+	{"request: taken, sent and answered", "us", "upstreams", lowestBatchNote + "; the module alone", upstreamSizes,
+		requestCost},
+	{"New", "ms", "classes", lowestBatchNote, classSizes,
+		func(n int) (float64, error) { return newBalancerCost(n, fixedTenants) }},
+	{"New", "ms", "tenants", lowestBatchNote, tenantSizes,
+		func(n int) (float64, error) { return newBalancerCost(fixedClasses, n) }},
+	{"settings: LoadConfig", "ms", "classes", lowestBatchNote, classSizes,
+		func(n int) (float64, error) { return loadConfigCost(n, fixedTenants, 0) }},
+	{"settings: LoadConfig", "ms", "tenants", lowestBatchNote, tenantSizes,
+		func(n int) (float64, error) { return loadConfigCost(fixedClasses, n, 0) }},
+	{"settings: wire.DecodeSettings", "ms", "classes", lowestBatchNote, classSizes,
+		func(n int) (float64, error) { return decodeSettingsCost(n, fixedTenants) }},
+	{"settings: wire.DecodeSettings", "ms", "tenants", lowestBatchNote, tenantSizes,
+		func(n int) (float64, error) { return decodeSettingsCost(fixedClasses, n) }},
+	{"settings: size of the file", "KB", "classes", "compact", classSizes,
+		func(n int) (float64, error) { return configSizeKB(n, fixedTenants, 0) }},
+	{"settings: size of the file", "KB", "tenants", "compact", tenantSizes,
+		func(n int) (float64, error) { return configSizeKB(fixedClasses, n, 0) }},
+	{"settings: allocated by LoadConfig", "MB", "tenants", "what is allocated in all, freed meanwhile or not",
+		tenantSizes, loadConfigAllocatedMB},
 	{"memory: Balancer with its list", "MB", "upstreams", lowestHeapNote, upstreamSizes,
 		func(n int) (float64, error) { return balancerHeapMB(n, fixedClasses, fixedTenants) }},
 	{"memory: Balancer with its settings", "MB", "classes", lowestHeapNote, classSizes,
@@ -134,7 +147,8 @@
 		func(n int) (float64, error) {
 			return loadConfigCost(TargetClasses*n/16, TargetTenants*n/16, TargetUpstreams*n/16)
 		}},
-	{"whole configuration: size of the file", "KB", "sixteenths of the fleet ahead", "compact, with the list", sixteenthSizes,
+	{"whole configuration: size of the file", "KB", "sixteenths of the fleet ahead", "compact, with the list",
+		sixteenthSizes,
 		func(n int) (float64, error) {
 			return configSizeKB(TargetClasses*n/16, TargetTenants*n/16, TargetUpstreams*n/16)
 		}},
@@ -144,14 +158,18 @@
 		func(n int) (float64, error) {
 			return balancerHeapMB(TargetUpstreams*n/16, TargetClasses*n/16, TargetTenants*n/16)
 		}},
-	{"reload: NewPlan, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes, newPlanCost},
-	{"reload: Plan.Since, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes, planSinceCost},
-	{"reload: Reconfigure, on the loop", "us", "sixteenths of the fleet ahead", lowestBatchNote + "; two of them, one class and one tenant changed to and fro", sixteenthSizes,
-		reconfigureCost},
-	{"reload: memory of the Balancer with the old plan and the new one", "MB", "sixteenths of the fleet ahead", lowestHeapNote, sixteenthSizes, twoPlansHeapMB},
-	{"quota: taken for over it, requests through all of n balancers", "%", "balancers", quotaNote, []int{1, 3, 14, 30, 135, 950},
-		func(n int) (float64, error) { return overQuotaPercent(n, n, quotaDuration) }},
-	{"quota: taken for over it, requests through n of 950 balancers", "%", "balancers used", quotaNote, []int{8, 30, 135, 950},
+	{"reload: NewPlan, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes,
+		newPlanCost},
+	{"reload: Plan.Since, away from the loop", "ms", "sixteenths of the fleet ahead", lowestBatchNote, sixteenthSizes,
+		planSinceCost},
+	{"reload: Reconfigure, on the loop", "us", "sixteenths of the fleet ahead",
+		lowestBatchNote + "; two of them, one class and one tenant changed to and fro", sixteenthSizes, reconfigureCost},
+	{"reload: memory of the Balancer with the old plan and the new one", "MB", "sixteenths of the fleet ahead",
+		lowestHeapNote, sixteenthSizes, twoPlansHeapMB},
+	{"quota: taken for over it, requests through all of n balancers", "%", "balancers", quotaNote,
+		[]int{1, 3, 14, 30, 135, 950}, func(n int) (float64, error) { return overQuotaPercent(n, n, quotaDuration) }},
+	{"quota: taken for over it, requests through n of 950 balancers", "%", "balancers used", quotaNote,
+		[]int{8, 30, 135, 950},
 		func(n int) (float64, error) { return overQuotaPercent(TargetBalancers, n, quotaDuration) }},
 }
 
@@ -168,8 +186,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cpuPerCall returns the mean processor time of a call of op in the cheapest of several batches, including that of the
-// garbage collector.
+// cpuPerCall returns the mean processor time of a call of op in the cheapest of several batches, including
+// that of the garbage collector.
 func cpuPerCall(op func()) time.Duration {
 	op() // leaves out one-time costs of the first call
 	lowest := time.Duration(0)
@@ -213,7 +231,7 @@
 	return lowest, nil
 }
 
-// liveHeapMB returns the size of the live heap in MB.
+// liveHeapMB returns the size of the live heap in MB of 10^6 bytes.
 func liveHeapMB() float64 {
 	runtime.GC()
 	runtime.GC() // frees what finalizers and pools kept alive during the first collection
@@ -222,12 +240,13 @@
 	return float64(m.HeapAlloc) / 1e6
 }
 
-// recordingHost is a garnettide.Host that counts sent and refused requests and records the last request that was sent.
+// recordingHost is a garnettide.Host that counts sent and refused requests and records the last request that
+// was sent.
 type recordingHost struct {
 	sent, refused int // numbers of calls
 	id            garnettide.RequestID
 	upstream      garnettide.UpstreamID
-	tickToken     uint64 // token of the first timer that was set, which drives the module's ticks
+	tickToken     uint64 // token of the first timer that was set, which is that of the module's ticks
 	timerCount    int
 }
 
@@ -256,12 +275,15 @@
 func fleetSettings(classes, tenants int) garnettide.Settings {
 	s := garnettide.Settings{Zone: "z1", Balancers: TargetBalancers, Rank: 17, OverQuotaWorth: 0.1, PollDiscovery: true,
 		Weights: garnettide.WeightNominal, Reports: garnettide.ReportInResponses, Granularity: 5 * time.Millisecond,
-		Limits: garnettide.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 3},
-		Requirements: garnettide.Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3, WarmupTime: 9 * time.Second, OverloadFactor: 3,
+		Limits: garnettide.Limits{Cancel: true, Hedging: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			MaxAttempts: 3},
+		Requirements: garnettide.Requirements{MaxDiscoveryInterval: 10 * time.Second, ColdCapacity: 0.3,
+			WarmupTime: 9 * time.Second, OverloadFactor: 3,
 			OverloadWindow: 3 * time.Second, DrainGrace: 2 * time.Second, AnswerSlack: 20 * time.Millisecond}}
 	for i := range classes {
-		s.Classes = append(s.Classes, garnettide.Class{Name: className(i), LatencyTarget: 300 * time.Millisecond, Deadline: time.Second,
-			Idempotency: garnettide.Idempotency(i % 2), DedupWindow: 400 * time.Millisecond, Worth: float64(1 + i%7), LateWorth: 0.2})
+		s.Classes = append(s.Classes, garnettide.Class{Name: className(i), LatencyTarget: 300 * time.Millisecond,
+			Deadline: time.Second, Idempotency: garnettide.Idempotency(i % 2), DedupWindow: 400 * time.Millisecond,
+			Worth: float64(1 + i%7), LateWorth: 0.2})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, garnettide.Tenant{Name: tenantName(i), Quota: 2.1})
@@ -269,18 +291,23 @@
 	return s
 }
 
-func className(i int) string  { return fmt.Sprintf("svc-%03d-route-%05d", i%950, i) }
+// className returns the name of the class with index i.
+func className(i int) string { return fmt.Sprintf("svc-%03d-route-%05d", i%950, i) }
+
+// tenantName returns the name of the tenant with index i.
 func tenantName(i int) string { return fmt.Sprintf("customer-%06d", i) }
 
 // upstreamList returns n upstreams that are all up.
 func upstreamList(n int) []garnettide.Upstream {
 	list := make([]garnettide.Upstream, n)
 	for i := range list {
-		list[i] = garnettide.Upstream{ID: garnettide.UpstreamID(i)*2654435761 + 1, Zone: zoneOfIndex(i), Cell: i % 11, Weight: 1}
+		list[i] = garnettide.Upstream{ID: garnettide.UpstreamID(i)*2654435761 + 1, Zone: zoneOfIndex(i), Cell: i % 11,
+			Weight: 1}
 	}
 	return list
 }
 
+// zoneOfIndex returns the zone of the upstream with index i, out of seven zones.
 func zoneOfIndex(i int) string { return "z" + strconv.Itoa(1+i%7) }
 
 // newListedBalancer returns a Balancer that has received a full list of upstreams, and its Host.
@@ -304,18 +331,20 @@
 func settingsObject(classes, tenants int) jsonObject {
 	profiles, customers := make(jsonObjects, classes), make(jsonObjects, tenants)
 	for i := range profiles {
-		profiles[i] = jsonObject{"give_up_us": 1000000, "group": "all", "late_worth": 0.2, "memory_span_us": 400000, "name": className(i),
+		profiles[i] = jsonObject{"give_up_us": 1000000, "group": "all", "late_worth": 0.2, "memory_span_us": 400000,
+			"name":   className(i),
 			"repeat": []string{"read_like", "idempotency_key"}[i%2], "stream": false, "target_us": 300000, "worth": 1 + i%7}
 	}
 	for i := range customers {
 		customers[i] = jsonObject{"name": tenantName(i), "quota_rps": 2.1, "share": 0.0000138}
 	}
-	return jsonObject{"az": "z1", "balancers": TargetBalancers, "rank": 17, "granularity_us": 5000, "membership_mode": "on_request",
+	return jsonObject{"az": "z1", "balancers": TargetBalancers, "rank": 17, "granularity_us": 5000,
+		"membership_mode":  "on_request",
 		"over_share_worth": 0.1, "weights": "nominal", "worth_by": "request", "profiles": profiles, "tenants": customers,
 		"limits": jsonObject{"cancel": true, "connect_timeout_us": 250000, "keepalive_us": 30000000, "max_attempts": 3,
 			"max_retry_after_us": 2000000, "probes": false, "retry_after": true, "second_copies": true},
-		"obligations": jsonObject{"answer_slack_us": 20000, "ask_within_us": 10000000, "cold_from": 0.3, "drain_grace_us": 2000000,
-			"ramp_time_us": 9000000, "tip_after_us": 3000000, "tip_multiple": 3.0},
+		"obligations": jsonObject{"answer_slack_us": 20000, "ask_within_us": 10000000, "cold_from": 0.3,
+			"drain_grace_us": 2000000, "ramp_time_us": 9000000, "tip_after_us": 3000000, "tip_multiple": 3.0},
 		"reporting": jsonObject{"fields": []string{"load_share", "tps"}, "via": "piggyback"}}
 }
 
@@ -323,15 +352,18 @@
 func listObject(n int) jsonObject {
 	members := make(jsonObjects, n)
 	for i := range members {
-		members[i] = jsonObject{"id": fmt.Sprintf("s-%08x", uint32(i)*2654435761), "host_port": fmt.Sprintf("10.%d.%d.%d:7070", i>>16, i>>8&255, i&255),
-			"locality": zoneOfIndex(i), "flavor": "m2", "cell": i % 11, "phase": "up", "size": 1.0, "up_since_ms": 1790000000000 + i}
+		members[i] = jsonObject{"id": fmt.Sprintf("s-%08x", uint32(i)*2654435761),
+			"host_port": fmt.Sprintf("10.%d.%d.%d:7070", i>>16, i>>8&255, i&255),
+			"locality":  zoneOfIndex(i), "flavor": "m2", "cell": i % 11, "phase": "up", "size": 1.0,
+			"up_since_ms": 1790000000000 + i}
 	}
 	return jsonObject{"revision": 41, "complete": true, "members": members}
 }
 
 // configJSON returns a configuration file with a known list of the given number of upstreams.
 func configJSON(classes, tenants, known int) ([]byte, error) {
-	return json.Marshal(jsonObject{"name": "n1", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
+	return json.Marshal(jsonObject{"name": "n1", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500",
+		"seed":   "8c1f30d27a5be964",
 		"limits": jsonObject{"cores": 1.0, "memory_mb": 256, "sockets": 1024}, "known": listObject(known),
 		"settings": settingsObject(classes, tenants)})
 }
@@ -339,7 +371,8 @@
 // --- Figures ---
 
 // stepCost measures the module's step, which runs once a second, in ms. If withReports is set, each step follows a
-// response that reports the request rate of its upstream, from which quotas follow the traffic.
+// response that reports the request rate of its upstream, so that the step also estimates the balancer's
+// share of the traffic, which scales quotas.
 func stepCost(upstreams, tenants int, withReports bool) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, tenants)
 	if err != nil {
@@ -358,14 +391,14 @@
 	})), nil
 }
 
-// tick measures the module's check of its upstreams between steps, in ms. The check runs several times within a latency
-// target.
+// tickCost measures the module's check of its upstreams between steps, in ms. The check runs several times
+// within a latency target.
 func tickCost(upstreams int) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
 		return 0, err
 	}
-	b.Timer(time.Second, h.tickToken) // runs the step; no other follows, since the time stays the same
+	b.Timer(time.Second, h.tickToken) // runs the step; the measured calls have the same time, so they run none
 	return milliseconds(cpuPerCall(func() { b.Timer(time.Second, h.tickToken) })), nil
 }
 
@@ -383,7 +416,7 @@
 	})), nil
 }
 
-// fullListCost measures the module's handling of a full list without changes, as received after a failed watch, in ms.
+// fullListCost measures the module's handling of a full list without changes, such as after a failed watch, in ms.
 func fullListCost(upstreams int) (float64, error) {
 	b, _, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
@@ -396,8 +429,9 @@
 	})), nil
 }
 
-// listDecodeCost measures the decoding of a full list in ms, including the checks of addresses and the sorting that the
-// discovery client does. It uses a type of the same shape as the client's entry type, which is not exported.
+// listDecodeCost measures the decoding of a full list in ms, including the checks of addresses and the
+// sorting that the discovery client does. It uses a type of the same shape as the client's entry type, which
+// is not exported.
 func listDecodeCost(upstreams int) (float64, error) {
 	text, err := json.Marshal(listObject(upstreams))
 	if err != nil {
@@ -437,8 +471,8 @@
 	return float64(len(text)) / 1e3, err
 }
 
-// requestCost measures the module's handling of a request that is accepted, sent at once and answered, in us. Requests
-// come at the mean rate of one balancer.
+// requestCost measures the module's handling of a request that is accepted, sent at once and answered, in us.
+// Requests come at the mean rate of one balancer.
 func requestCost(upstreams int) (float64, error) {
 	b, h, err := newListedBalancer(upstreams, fixedClasses, fixedTenants)
 	if err != nil {
@@ -501,8 +535,8 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / 1e6, err
 }
 
-// configFile writes a configuration to a temporary file. It returns a function that looks up the environment variables
-// which refer to it, and one that removes it.
+// configFile writes a configuration to a temporary file. It returns a function that looks up the environment
+// variables that refer to it, and one that removes it.
 func configFile(classes, tenants, known int) (getenv func(string) string, remove func(), err error) {
 	text, err := configJSON(classes, tenants, known)
 	if err != nil {
@@ -541,8 +575,8 @@
 	return milliseconds(perCall), err
 }
 
-// balancerHeapMB returns the heap in MB that a Balancer keeps alive with its list and its settings, which are decoded as
-// the balancer's program decodes them.
+// balancerHeapMB returns the heap in MB that a Balancer keeps alive with its list and its settings, which are
+// decoded as the balancer's program decodes them.
 func balancerHeapMB(upstreams, classes, tenants int) (float64, error) {
 	text, err := json.Marshal(settingsObject(classes, tenants))
 	if err != nil {
@@ -646,18 +680,19 @@
 // --- Quotas ---
 
 const (
-	tenantQuota      = 2.1
-	quotaUtilisation = 0.8
-	quotaWarmup      = 3000 * time.Second // many times longer than a count of 1 takes to drain at 1/950 of the quota
+	tenantQuota      = 2.1                // requests per second
+	quotaUtilisation = 0.8                // share of the quota that the tenant requests
+	quotaWarmup      = 3000 * time.Second // several times as long as 1/950 of the quota needs for one request
 	quotaDuration    = 20000 * time.Second
 )
 
-// overQuotaPercent returns the percentage of requests that are treated as over quota although their tenant is within its
-// quota. The requests are spread evenly over usedBalancers of the fleet. Time is simulated, so results are repeatable.
+// overQuotaPercent returns the percentage of requests that are treated as over quota although their tenant is
+// within its quota. The requests are spread evenly over usedBalancers of the fleet. Time is simulated, so
+// results are repeatable.
 //
-// The module does not report whether a request is over quota. The balancers therefore have no upstreams, requests over
-// quota have no worth, and deadlines are longer than the simulation: requests over quota are refused at once, and all
-// others are queued.
+// The module does not report whether a request is over quota. The balancers therefore have no upstreams,
+// requests over quota have no worth, and deadlines are longer than the simulation: requests over quota are
+// refused at once, and all others are queued.
 func overQuotaPercent(balancers, usedBalancers int, duration time.Duration) (float64, error) {
 	s := fleetSettings(1, 0)
 	longDeadline := 100 * (quotaWarmup + duration)
--- a/internal/scale/inprocess_test.go
+++ b/internal/scale/inprocess_test.go
@@ -54,9 +54,11 @@
 
 func TestSlopeLowestOfTwoRuns(t *testing.T) {
 	x := []float64{1, 2, 4, 8}
-	first, second := NewSlope("a", "ms", "n", x, []float64{10, 21, 40, 95}), NewSlope("a", "ms", "n", x, []float64{12, 20, 44, 80})
+	first, second := NewSlope("a", "ms", "n", x, []float64{10, 21, 40, 95}),
+		NewSlope("a", "ms", "n", x, []float64{12, 20, 44, 80})
 	first.Note = "held"
-	if s := first.lowest(second); !slices.Equal(s.Y, []float64{10, 20, 40, 80}) || s.Fit != FitPoints(x, s.Y) || s.Note != "held" || first.Y[1] != 21 {
+	if s := first.lowest(second); !slices.Equal(s.Y, []float64{10, 20, 40, 80}) || s.Fit != FitPoints(x, s.Y) ||
+		s.Note != "held" || first.Y[1] != 21 {
 		t.Errorf("got %+v, want the lower values of both runs", s)
 	}
 	none := Slope{Name: "a", Note: "not run: no room"}
@@ -184,8 +186,8 @@
 	}
 }
 
-// TestOverQuotaPercent checks that the percentage of requests wrongly treated as over quota is repeatable and stays below
-// an upper bound for several fleets.
+// TestOverQuotaPercent checks that the percentage of requests wrongly treated as over quota is repeatable and
+// stays below an upper bound for several fleets.
 func TestOverQuotaPercent(t *testing.T) {
 	const duration = 5000 * time.Second
 	for _, c := range []struct {
@@ -198,7 +200,8 @@
 		}
 		second, _ := overQuotaPercent(c.balancers, c.usedBalancers, duration)
 		if first > c.maxPercent || first != second {
-			t.Errorf("%d of %d balancers: got %.1f%%, then %.1f%%, want equal values of at most %.1f%%", c.usedBalancers, c.balancers, first, second, c.maxPercent)
+			t.Errorf("%d of %d balancers: got %.1f%%, then %.1f%%, want equal values of at most %.1f%%", c.usedBalancers,
+				c.balancers, first, second, c.maxPercent)
 		}
 	}
 }
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// This file holds the list of upstreams that the machines of the stand-in discovery share, and its changes.
+// This file holds the list of upstreams that the servers of the stand-in discovery share, and its changes.
 
 const (
-	// maxLoggedChanges is the number of changes kept for watches: enough for a zone of 2,000 upstreams to
+	// maxLoggedChanges is the number of changes kept for watches, enough for a zone of 2,000 upstreams to
 	// leave and return during a release. A watch from an older revision gets the full list.
 	maxLoggedChanges = 8192
 	// fullListThreshold is the fraction of the list above which changes are sent as the full list.
@@ -76,20 +76,23 @@
 // newList returns a list of upstreams spread over zones, with addresses assigned in rotation. The first
 // revision is 1.
 func newList(upstreams, zones int, addresses []string) *list {
-	l := &list{revision: 1, minSince: 1, indexByID: map[string]int{}, updated: make(chan struct{}), deltas: map[uint64]*listResponse{}}
+	l := &list{revision: 1, minSince: 1, indexByID: map[string]int{}, updated: make(chan struct{}),
+		deltas: map[uint64]*listResponse{}}
 	for i := range upstreams {
-		l.setMember(Member{ID: l.newID(), HostPort: addresses[i%len(addresses)], Locality: zoneName(i % zones), Flavor: "m2", Cell: i % 8,
-			Phase: "up", Size: 1})
+		l.setMember(Member{ID: l.newID(), HostPort: addresses[i%len(addresses)], Locality: zoneName(i % zones),
+			Flavor: "m2", Cell: i % 8, Phase: "up", Size: 1})
 	}
 	return l
 }
 
+// zoneName returns the name of the zone with index i.
 func zoneName(i int) string { return fmt.Sprintf("z%d", i+1) }
 
 // newID returns an ID that no upstream had before.
 func (l *list) newID() string {
 	l.idsCreated++
-	return fmt.Sprintf("s-%08x", uint32(l.idsCreated)*2654435761) // an odd factor maps the 2^32 values one to one
+	// The IDs are distinct, since multiplication by an odd number modulo 2^32 is a bijection.
+	return fmt.Sprintf("s-%08x", uint32(l.idsCreated)*2654435761)
 }
 
 // setMember adds or replaces an entry, or deletes it if its phase is removed.
@@ -156,7 +159,7 @@
 	})
 }
 
-// removeZone removes up to limit upstreams of a zone in one revision and returns them as they were.
+// removeZone removes up to limit upstreams of a zone that are up in one revision and returns them as they were.
 func (l *list) removeZone(zone string, limit int) (removed []Member, revision RevisionTime) {
 	revision = l.publish(func() []Member {
 		var changed []Member
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -25,8 +25,8 @@
 // realBalancer is a real balancer. Its name and address stay the same across restarts.
 type realBalancer struct {
 	spec     BalancerSpec
-	path     string
-	program  string
+	path     string // of the configuration file
+	program  string // path
 	child    *child
 	admitted atomic.Bool  // its last health check passed, so clients use it
 	readyAt  atomic.Int64 // first successful health check since its start, Unix time in ns; 0: none
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -15,7 +15,8 @@
 
 // WriteTables writes the results as text tables.
 func (r *Run) WriteTables(w io.Writer) {
-	fmt.Fprintf(w, "\nscale run of %s, commit %s, %s, %d cores used, %.0f s, at most %d MB\n", r.Started, r.Commit, r.GoVersion, r.processors, r.Seconds, r.PeakMemoryMB)
+	fmt.Fprintf(w, "\nscale run of %s, commit %s, %s, %d cores used, %.0f s, at most %d MB\n", r.Started, r.Commit,
+		r.GoVersion, r.processors, r.Seconds, r.PeakMemoryMB)
 	writeInProcessTable(w, r.InProcess)
 	for _, s := range r.Slopes {
 		s.writeTable(w)
@@ -69,8 +70,8 @@
 	}
 	for _, p := range r.Points {
 		for _, b := range p.Bursts {
-			fmt.Fprintf(t, "at %.5g, %s: %.4g ms of a core and %.4g KB for a balancer, in force p99 %.0f ms, last %.0f, missing %d\t\n", p.X, b.Name,
-				b.CPU, b.In, b.InForce.P99, b.InForce.Last, b.InForce.Missing)
+			fmt.Fprintf(t, "at %.5g, %s: %.4g ms of a core and %.4g KB for a balancer, in force p99 %.0f ms, last %.0f, missing %d\t\n",
+				p.X, b.Name, b.CPU, b.In, b.InForce.P99, b.InForce.Last, b.InForce.Missing)
 		}
 		if p.InForce.Missing > 0 {
 			fmt.Fprintf(t, "at %.5g: %d changes not in force in time\t\n", p.X, p.InForce.Missing)
@@ -87,8 +88,8 @@
 
 // writeTable writes a table with a column for each phase, followed by the figures of the scene.
 func (s *Scene) writeTable(w io.Writer) {
-	fmt.Fprintf(w, "\nscene %s: %d hollow and %d real balancers, %d upstreams, %d classes, %d tenants\n", s.Name, s.Size.Hollow, s.Size.Real,
-		s.Size.Upstreams, s.Size.Classes, s.Size.Tenants)
+	fmt.Fprintf(w, "\nscene %s: %d hollow and %d real balancers, %d upstreams, %d classes, %d tenants\n", s.Name,
+		s.Size.Hollow, s.Size.Real, s.Size.Upstreams, s.Size.Classes, s.Size.Tenants)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "figure\t")
 	for _, p := range s.Phases {
@@ -130,15 +131,18 @@
 	row("hollow: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.ResourceUse.HollowCPU) })
 	row("real: us of a core a second", func(p Phase) string { return fmt.Sprintf("%.0f", p.ResourceUse.RealCPU) })
 	row("real: MB, the largest", func(p Phase) string { return fmt.Sprintf("%.0f", p.ResourceUse.RealRSS) })
-	row("bytes a second in / out, a balancer", func(p Phase) string { return fmt.Sprintf("%.0f / %.0f", p.ResourceUse.In, p.ResourceUse.Out) })
-	row("discovery: calls/s, busiest second", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.Calls, p.BusiestSecond.Calls) })
+	row("bytes a second in / out, a balancer",
+		func(p Phase) string { return fmt.Sprintf("%.0f / %.0f", p.ResourceUse.In, p.ResourceUse.Out) })
+	row("discovery: calls/s, busiest second",
+		func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.Calls, p.BusiestSecond.Calls) })
 	row("discovery: KB/s, busiest second", func(p Phase) string {
 		return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.DiscoveryOut/1000, p.BusiestSecond.DiscoveryOut/1000)
 	})
 	row("discovery: us of a core a second, busiest", func(p Phase) string {
 		return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.DiscoveryCPU, p.BusiestSecond.DiscoveryCPU)
 	})
-	row("discovery: whole lists, failed calls", func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.FullLists, p.ResourceUse.Failed) })
+	row("discovery: whole lists, failed calls",
+		func(p Phase) string { return fmt.Sprintf("%.0f, %.0f", p.ResourceUse.FullLists, p.ResourceUse.Failed) })
 	row("cores: hollow, clients and upstreams, others", func(p Phase) string {
 		return fmt.Sprintf("%.2f, %.2f, %.2f", p.ResourceUse.HollowCores, p.ResourceUse.DriverCores, p.ResourceUse.OtherCores)
 	})
@@ -177,10 +181,10 @@
 func (r *Run) WriteJSON(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return fmt.Errorf("encode results: %w", err)
+		return fmt.Errorf("encoding the results: %w", err)
 	}
 	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
-		return fmt.Errorf("write results: %w", err)
+		return fmt.Errorf("writing the results: %w", err)
 	}
 	return nil
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -35,7 +35,7 @@
 // maxPlayDuration limits Options.PhaseDuration and Options.CutDuration.
 const maxPlayDuration = 10 * time.Minute
 
-// Run holds the state and the results of a run.
+// Run holds the state and the results of a run. The exported fields are written as JSON.
 type Run struct {
 	Command      string        `json:"command"`
 	Commit       string        `json:"commit"`
@@ -44,18 +44,18 @@
 	Started      string        `json:"began"`
 	Seconds      float64       `json:"seconds"`
 	PeakMemoryMB int64         `json:"peak_memory_mb"` // sum over all processes; pages that they share count in each
-	Base         Size          `json:"base"`           // size of the fleet in slopes, apart from the varied quantity
+	Base         Size          `json:"base"`           // same as base
 	Slopes       []SlopeResult `json:"slopes"`
 	Scenes       []Scene       `json:"scenes"`
 	NotRun       []string      `json:"left"` // selected slopes and scenes that were not run, with the reason
 	InProcess    []Slope       `json:"in_process,omitempty"`
 
 	options      Options
-	base         Size
+	base         Size // size of the fleet in slopes, apart from the varied quantity
 	processes    *processGroup
 	programs     []string
 	programNames []string // names in the results, by index of programs
-	processors   int
+	processors   int      // that the run may use
 	log          io.Writer
 	startTime    time.Time
 
@@ -99,16 +99,20 @@
 	if o.Scenes, err = selectNames(o.Scenes, sceneNames); err != nil {
 		return nil, fmt.Errorf("scene: %w", err)
 	}
-	if o.PhaseDuration <= 0 || o.PhaseDuration > maxPlayDuration || o.CutDuration > maxPlayDuration || o.SettingsInterval < time.Second && slices.Contains(o.Scenes, "settings") {
-		return nil, fmt.Errorf("phases must be longer than zero, durations at most %v, and changes of the settings at least a second apart", maxPlayDuration)
+	if o.PhaseDuration <= 0 || o.PhaseDuration > maxPlayDuration || o.CutDuration > maxPlayDuration ||
+		o.SettingsInterval < time.Second && slices.Contains(o.Scenes, "settings") {
+		return nil, fmt.Errorf("phases must be longer than zero, durations at most %v, and changes of the settings at least a second apart",
+			maxPlayDuration)
 	}
 	dir, err := os.MkdirTemp("", "scale-")
 	if err != nil {
-		return nil, fmt.Errorf("create directory of the run: %w", err)
+		return nil, fmt.Errorf("creating the directory of the run: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	r := &Run{Command: strings.Join(os.Args[1:], " "), Commit: describeCommit(), GoVersion: runtime.Version(), Cores: runtime.NumCPU(),
-		Started: time.Now().UTC().Format(time.RFC3339), options: o, base: o.Size.withDefaults(baseSize), processes: &processGroup{dir: dir},
+	r := &Run{Command: strings.Join(os.Args[1:], " "), Commit: describeCommit(), GoVersion: runtime.Version(),
+		Cores:   runtime.NumCPU(),
+		Started: time.Now().UTC().Format(time.RFC3339), options: o, base: o.Size.withDefaults(baseSize),
+		processes:  &processGroup{dir: dir},
 		processors: runtime.GOMAXPROCS(0), log: o.Log, startTime: time.Now()}
 	r.Base = r.base
 	defer r.processes.stopAll()
@@ -134,8 +138,9 @@
 
 // withDefaults returns base with the fields that are set in s.
 func (s Size) withDefaults(base Size) Size {
-	for _, field := range []struct{ to, from *int }{{&base.Balancers, &s.Balancers}, {&base.Upstreams, &s.Upstreams}, {&base.Zones, &s.Zones},
-		{&base.Classes, &s.Classes}, {&base.Tenants, &s.Tenants}, {&base.Hollow, &s.Hollow}, {&base.DiscoveryServers, &s.DiscoveryServers}, {&base.Real, &s.Real}} {
+	for _, field := range []struct{ to, from *int }{{&base.Balancers, &s.Balancers}, {&base.Upstreams, &s.Upstreams},
+		{&base.Zones, &s.Zones}, {&base.Classes, &s.Classes}, {&base.Tenants, &s.Tenants}, {&base.Hollow, &s.Hollow},
+		{&base.DiscoveryServers, &s.DiscoveryServers}, {&base.Real, &s.Real}} {
 		if *field.from > 0 {
 			*field.to = *field.from
 		}
@@ -156,7 +161,7 @@
 func BuildBalancer(dir string) (string, error) {
 	program := filepath.Join(dir, "olivearch")
 	if out, err := exec.Command("go", "build", "-o", program, "garnettide/cmd/olivearch").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("build balancer: %w: %s", err, out)
+		return "", fmt.Errorf("building the balancer: %w: %s", err, out)
 	}
 	return program, nil
 }
--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -13,17 +13,17 @@
 
 const (
 	zoneOutage       = 20 * time.Second // how long the zone is lost
-	recoveryTime     = 12 * time.Second // observed after the end of an event
-	busiestWindow    = time.Second      // over which the load on discovery is compared
-	serverSilentTime = 20 * time.Second // how long the machine of discovery is silent
+	recoveryTime     = 12 * time.Second // measured after the end of an outage or a restart
+	busiestWindow    = time.Second      // interval at which busiestSecond samples discovery
+	serverSilentTime = 20 * time.Second // how long the discovery server is silent
 	lostZone         = 0                // index
 	silentServer     = 0                // index
 )
 
-// sceneSize is the default size of a scene's fleet: all upstreams, and as many balancers as two cores can
-// run.
-var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: TargetUpstreams, Zones: 7, Classes: 20,
-	Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
+// sceneSize is the default size of a scene's fleet: all upstreams of the target fleet, but only as many
+// balancers as two cores can run.
+var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: TargetUpstreams,
+	Zones: 7, Classes: 20, Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
 	Hollow: 24, Real: 8, DiscoveryServers: 4, Rate: 240}
 
 // Scene is the result of a scene.
@@ -41,7 +41,7 @@
 	ListInForce      InForce        `json:"lists"`               // changes of the list on hollow balancers
 	SettingsInForce  InForce        `json:"settings"`            // changes of the settings on hollow balancers
 	SettingsServed   []InForce      `json:"settings_served"`     // until real balancers served the new class, by program
-	NotServed        []StatusCounts `json:"settings_not_served"` // last statuses on balancers that never served it, by program
+	NotServed        []StatusCounts `json:"settings_not_served"` // last status on each balancer that never did, by program
 	ResourceUse      ResourceUse    `json:"spent"`
 	BusiestSecond    ResourceUse    `json:"busiest_second"` // the second with the most calls to discovery
 	Clients          ClientStats    `json:"clients"`
@@ -65,9 +65,10 @@
 
 // playScene plays a scene on a new fleet.
 func (r *Run) playScene(s scene) (Scene, error) {
-	result := Scene{Name: s.name, Size: r.options.Size.withDefaults(sceneSize), Programs: r.programNames, Figures: map[string]float64{}}
-	r.logProgress("scene %s: starting %d hollow and %d real balancers with %d upstreams, %d classes, %d tenants", s.name, result.Size.Hollow,
-		result.Size.Real, result.Size.Upstreams, result.Size.Classes, result.Size.Tenants)
+	result := Scene{Name: s.name, Size: r.options.Size.withDefaults(sceneSize), Programs: r.programNames,
+		Figures: map[string]float64{}}
+	r.logProgress("scene %s: starting %d hollow and %d real balancers with %d upstreams, %d classes, %d tenants",
+		s.name, result.Size.Hollow, result.Size.Real, result.Size.Upstreams, result.Size.Classes, result.Size.Tenants)
 	f, err := newFleet(result.Size, r.processes, r.programs...)
 	if err != nil {
 		return result, err
@@ -81,9 +82,10 @@
 	return result, s.play(r, f, &result)
 }
 
-// measurePhase measures a phase while do runs and until the revisions that it returns are in force, and adds
-// it to result.
-func (r *Run) measurePhase(f *fleet, result *Scene, name string, do func(p *Phase) ([]RevisionTime, error)) (Phase, error) {
+// measurePhase measures a phase while do runs and until the revisions that do returns are in force or
+// inForceTimeout is over, and adds the phase to result.
+func (r *Run) measurePhase(f *fleet, result *Scene, name string,
+	do func(p *Phase) ([]RevisionTime, error)) (Phase, error) {
 	p := Phase{Name: name}
 	if err := f.forgetChanges(); err != nil {
 		return p, err
@@ -138,7 +140,8 @@
 			break
 		}
 		nowAt := time.Now()
-		use := (&fleet{size: f.size}).resourceUse(usageReading{at: at, discovery: before}, usageReading{at: nowAt, discovery: now})
+		use := (&fleet{size: f.size}).resourceUse(usageReading{at: at, discovery: before},
+			usageReading{at: nowAt, discovery: now})
 		if use.Calls >= busiest.Calls {
 			busiest = use
 		}
@@ -151,48 +154,50 @@
 // newer one is. Real balancers have to serve a request of the version's own class before the next version is
 // written, or within inForceTimeout for the last one.
 func playSettings(r *Run, f *fleet, result *Scene) error {
-	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.SettingsInterval), func(p *Phase) ([]RevisionTime, error) {
-		realDelays := make([]Delays, len(f.programs))
-		for range f.programs {
-			p.NotServed = append(p.NotServed, StatusCounts{})
-		}
-		changes := 0
-		for start, last := time.Now(), false; !last; changes++ {
-			next := time.Now().Add(r.options.SettingsInterval)
-			last = time.Since(start)+r.options.SettingsInterval >= r.options.PhaseDuration
-			timeout := r.options.SettingsInterval - r.options.SettingsInterval/10
-			if last {
-				timeout = inForceTimeout
+	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.SettingsInterval),
+		func(p *Phase) ([]RevisionTime, error) {
+			realDelays := make([]Delays, len(f.programs))
+			for range f.programs {
+				p.NotServed = append(p.NotServed, StatusCounts{})
 			}
-			change, err := f.reload(timeout)
+			changes := 0
+			for start, last := time.Now(), false; !last; changes++ {
+				next := time.Now().Add(r.options.SettingsInterval)
+				last = time.Since(start)+r.options.SettingsInterval >= r.options.PhaseDuration
+				timeout := r.options.SettingsInterval - r.options.SettingsInterval/10
+				if last {
+					timeout = inForceTimeout
+				}
+				change, err := f.reload(timeout)
+				if err != nil {
+					return nil, err
+				}
+				for i, d := range change.servedDelays {
+					realDelays[i].Micros, realDelays[i].Missing = append(realDelays[i].Micros, d.Micros...),
+						realDelays[i].Missing+d.Missing
+					for status, n := range change.NotServed[i] {
+						p.NotServed[i][status] += n
+					}
+				}
+				if !last {
+					time.Sleep(time.Until(next))
+				}
+			}
+			hollowDelays, err := f.collectDelays("Hollow.SettingsSince", f.delivered)
 			if err != nil {
 				return nil, err
 			}
-			for i, d := range change.servedDelays {
-				realDelays[i].Micros, realDelays[i].Missing = append(realDelays[i].Micros, d.Micros...), realDelays[i].Missing+d.Missing
-				for status, n := range change.NotServed[i] {
-					p.NotServed[i][status] += n
-				}
-			}
-			if !last {
-				time.Sleep(time.Until(next))
+			p.SettingsInForce = summarise(changes, hollowDelays)
+			r.logProgress("  settings in force on hollow balancers: p99 %.0f ms, last %.0f ms, missing %d",
+				p.SettingsInForce.P99, p.SettingsInForce.Last, p.SettingsInForce.Missing)
+			for i, d := range realDelays {
+				s := summarise(changes, d)
+				p.SettingsServed = append(p.SettingsServed, s)
+				r.logProgress("  new class served by real balancers of program %d: p99 %.0f ms, last %.0f ms, missing %d %v",
+					i+1, s.P99, s.Last, s.Missing, p.NotServed[i])
 			}
-		}
-		hollowDelays, err := f.collectDelays("Hollow.SettingsSince", f.delivered)
-		if err != nil {
-			return nil, err
-		}
-		p.SettingsInForce = summarise(changes, hollowDelays)
-		r.logProgress("  settings in force on hollow balancers: p99 %.0f ms, last %.0f ms, missing %d", p.SettingsInForce.P99,
-			p.SettingsInForce.Last, p.SettingsInForce.Missing)
-		for i, d := range realDelays {
-			s := summarise(changes, d)
-			p.SettingsServed = append(p.SettingsServed, s)
-			r.logProgress("  new class served by real balancers of program %d: p99 %.0f ms, last %.0f ms, missing %d %v", i+1, s.P99,
-				s.Last, s.Missing, p.NotServed[i])
-		}
-		return nil, nil
-	})
+			return nil, nil
+		})
 	return err
 }
 
@@ -248,7 +253,7 @@
 	return err
 }
 
-// playRestart restarts a tenth of the fleet at once while the list changes.
+// playRestart restarts a tenth of the balancers at once and makes one change of the list.
 func playRestart(r *Run, f *fleet, result *Scene) error {
 	n := 0
 	paths := f.selectPaths(func(BalancerSpec) bool { n++; return n%10 == 1 })
@@ -288,7 +293,7 @@
 	return err
 }
 
-// playMachine makes one machine of discovery silent while the list changes, and brings it back.
+// playSilentServer makes one discovery server silent while the list changes, and brings it back.
 func playSilentServer(r *Run, f *fleet, result *Scene) error {
 	result.Figures["balancers at the machine"] = float64(len(slices.Concat(f.selectPaths(func(s BalancerSpec) bool {
 		return s.Discovery == f.discoveryAddresses[silentServer]
@@ -313,7 +318,7 @@
 	return err
 }
 
-// playCut makes all machines of discovery silent while the list changes, brings them back and makes another
+// playCut makes all discovery servers silent while the list changes, brings them back and makes another
 // change.
 func playCut(r *Run, f *fleet, result *Scene) error {
 	setMode := func(mode Mode) error {
@@ -324,13 +329,14 @@
 		}
 		return nil
 	}
-	if _, err := r.measurePhase(f, result, fmt.Sprintf("discovery cut off for %v", r.options.CutDuration), func(*Phase) ([]RevisionTime, error) {
-		if err := setMode(ModeSilent); err != nil {
+	if _, err := r.measurePhase(f, result, fmt.Sprintf("discovery cut off for %v", r.options.CutDuration),
+		func(*Phase) ([]RevisionTime, error) {
+			if err := setMode(ModeSilent); err != nil {
+				return nil, err
+			}
+			_, err := f.releaseAtRate(1, r.options.CutDuration)
 			return nil, err
-		}
-		_, err := f.releaseAtRate(1, r.options.CutDuration)
-		return nil, err
-	}); err != nil {
+		}); err != nil {
 		return err
 	}
 	_, err := r.measurePhase(f, result, "discovery back", func(*Phase) ([]RevisionTime, error) {
--- a/internal/scale/small_test.go
+++ b/internal/scale/small_test.go
@@ -12,7 +12,7 @@
 
 const smallFleetTimeout = 60 * time.Second // for each condition to become true
 
-// smallFleet is a discovery and hollow balancers in this process.
+// smallFleet is a stand-in discovery and hollow balancers in the process of the test.
 type smallFleet struct {
 	t                  *testing.T
 	discovery          Discovery
@@ -27,10 +27,11 @@
 // newSmallFleet starts a fleet and waits until each balancer waits in a watch.
 func newSmallFleet(t *testing.T, balancers, upstreams int) *smallFleet {
 	t.Helper()
-	s := &smallFleet{t: t, dimensions: FleetDimensions{Balancers: balancers, Upstreams: upstreams, Zones: 3, Classes: 4, Tenants: 10,
-		MaxDiscoveryInterval: 2 * time.Second}}
+	s := &smallFleet{t: t, dimensions: FleetDimensions{Balancers: balancers, Upstreams: upstreams, Zones: 3,
+		Classes: 4, Tenants: 10, MaxDiscoveryInterval: 2 * time.Second}}
 	t.Cleanup(s.discovery.Stop)
-	s.must(s.discovery.Start(DiscoveryConfig{DiscoveryServers: 2, Upstreams: upstreams, Zones: 3, UpstreamAddresses: []string{"127.0.0.1:1"}}, &s.discoveryAddresses))
+	s.must(s.discovery.Start(DiscoveryConfig{DiscoveryServers: 2, Upstreams: upstreams, Zones: 3,
+		UpstreamAddresses: []string{"127.0.0.1:1"}}, &s.discoveryAddresses))
 	dir := t.TempDir()
 	for i := range balancers {
 		s.paths = append(s.paths, filepath.Join(dir, fmt.Sprintf("b%d.json", i)))
@@ -42,6 +43,7 @@
 	return s
 }
 
+// must fails the test on an error.
 func (s *smallFleet) must(err error) {
 	s.t.Helper()
 	if err != nil {
@@ -49,7 +51,7 @@
 	}
 }
 
-// configure writes the next version of the settings for all balancers, with the given machine of discovery.
+// configure writes the next version of the settings for all balancers, with the given discovery server.
 func (s *smallFleet) configure(server int) {
 	s.t.Helper()
 	var known Listing
@@ -59,8 +61,8 @@
 	s.must(err)
 	s.hashes = map[string]string{}
 	for i, path := range s.paths {
-		s.hashes[path], err = template.write(path, BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1", Discovery: s.discoveryAddresses[server],
-			Zone: zoneName(i % 3), Rank: i, MemoryMB: 64})
+		s.hashes[path], err = template.write(path, BalancerSpec{Name: fmt.Sprintf("b%d", i), Listen: "127.0.0.1:1",
+			Discovery: s.discoveryAddresses[server], Zone: zoneName(i % 3), Rank: i, MemoryMB: 64})
 		s.must(err)
 	}
 }
@@ -78,7 +80,8 @@
 // awaitSettled waits until each balancer waits in a watch, so that it has the current revision.
 func (s *smallFleet) awaitSettled() {
 	s.t.Helper()
-	s.await("all balancers wait in a watch", func() bool { return s.discovery.counts.waiting.Load() == int64(len(s.paths)) })
+	s.await("all balancers wait in a watch",
+		func() bool { return s.discovery.counts.waiting.Load() == int64(len(s.paths)) })
 }
 
 // applyChange makes a change, waits until it is in force everywhere and returns the counts of discovery for
@@ -97,10 +100,12 @@
 	return s.discovery.counts.snapshot().sub(before)
 }
 
+// release makes the next change of a rolling release.
 func (s *smallFleet) release(revision *RevisionTime) error {
 	return s.discovery.Release(Empty{}, revision)
 }
 
+// want reports an error if got differs from want.
 func want(t *testing.T, what string, got, want int64) {
 	t.Helper()
 	if got != want {
@@ -166,7 +171,7 @@
 		before := s.discovery.counts.snapshot()
 		s.configure(server)
 		s.must(s.hollow.Hangup(s.paths, nil))
-		s.await("all balancers wait at the new machine", func() bool {
+		s.await("all balancers wait at the new server", func() bool {
 			return s.discovery.servers[server].waiting.Load() == balancers && s.discovery.servers[1-server].waiting.Load() == 0
 		})
 		c := s.discovery.counts.snapshot().sub(before)
--- a/internal/scale/soak.go
+++ b/internal/scale/soak.go
@@ -16,19 +16,21 @@
 	"time"
 )
 
-// This file runs the soak test of restarts: real balancer processes serve clients over loopback, with upstreams and
-// discovery in the test's own process. A seed determines a series of signals and changes, which ends with a restart or a
-// shutdown. Clients use every open connection until SIGKILL.
+// This file runs the soak test of restarts: real balancer processes serve clients over loopback, with
+// upstreams and discovery in the test's own process. A seed determines a series of signals and changes, which
+// ends with a restart or a shutdown. Clients go on using their open connections while a balancer shuts down.
 
 const (
-	soakUpstreams       = 6
-	soakClientCount     = 24  // clients, each with one connection
-	soakIdleClients     = 500 // idle connections of a crowd, more than a balancer with 1,024 file descriptors accepts
+	soakUpstreams   = 6
+	soakClientCount = 24 // clients, each with one connection
+	// soakIdleClients is the number of connections without requests, in runs that have them. It is more than a
+	// balancer accepts while it shares its limit of 1,024 sockets with its successor.
+	soakIdleClients     = 500
 	soakReadyTimeout    = 10 * time.Second
-	soakMaxEvents       = 4 // most random events before the restart
+	soakMaxEvents       = 4 // largest number of random events before the restart
 	soakMaxEventTime    = 600 * time.Millisecond
-	soakKillDelay       = 3700 * time.Millisecond // from SIGTERM to SIGKILL: 3 s, since deadlines are shorter, plus 0.7 s
-	soakSettleTime      = 300 * time.Millisecond  // after the last process has ended, for clients and upstreams to record it
+	soakKillDelay       = 3700 * time.Millisecond // from SIGTERM to SIGKILL, longer than the deadline of any request
+	soakSettleTime      = 300 * time.Millisecond  // after the end of the last process, for late records
 	soakMoveOverlap     = 1500 * time.Millisecond // from SIGHUP until the previous discovery server stops
 	soakClockInterval   = 5 * time.Millisecond
 	soakOperatorTimeout = time.Second
@@ -37,7 +39,7 @@
 // SoakResult is the result of one seed.
 type SoakResult struct {
 	Seed     uint64
-	Events   []string // log of the run, in order
+	Events   []string // log lines of the run, in order
 	Requests int
 	Restarts int
 	MaxDelay time.Duration // longest scheduling delay of the soak test's own process
@@ -58,8 +60,8 @@
 	terminatedAt    time.Time
 }
 
-// soakCloseWindow is a period in which a balancer may close connections without reading their requests. If to is zero,
-// the period does not end.
+// soakCloseWindow is a period in which a balancer may close connections without reading their requests. If to
+// is zero, the period does not end.
 type soakCloseWindow struct{ from, to time.Time }
 
 // soak is the state of the run of one seed.
@@ -67,30 +69,32 @@
 	SoakResult
 	rng              *rand.Rand
 	startTime        time.Time
-	dir              string
-	program          string
+	dir              string // of the configuration and temporary files
+	program          string // path of the balancer's program
 	processes        *processGroup
 	listener         *os.File // inherited by the balancers; nil if each opens its own
-	listen           string
+	listen           string   // address of the balancers
 	list             *list
 	discoveryCounts  discoveryCounters
 	discoveryServers []*discoveryServer
-	serverIndex      int // index of the one in the configuration
+	serverIndex      int // index of the server in the configuration
 	settingsVersion  int
 	upstreams        []*soakUpstream
 	arrivals         *soakArrivalLog
 	clients          *soakClients
-	hasIdleClients   bool
+	hasIdleClients   bool              // soakIdleClients connect in this run
 	drainAnnouncedAt map[int]time.Time // when discovery got the drain of an upstream, by index
-	discoveryOutage  bool              // discovery was unavailable or moved at some time
+	discoveryOutage  bool              // discovery was unavailable or moved at some time in the run
 	closeWindows     []soakCloseWindow
 	balancers        []*soakBalancer
 }
 
 // RunSoak runs one seed against the balancer's program at the given path, with files in dir.
 func RunSoak(program string, seed uint64, dir string) (SoakResult, error) {
-	s := &soak{SoakResult: SoakResult{Seed: seed}, rng: rand.New(rand.NewPCG(seed, 0)), startTime: time.Now(), dir: dir, program: program,
-		processes: &processGroup{dir: dir}, arrivals: &soakArrivalLog{byRequest: map[string][]*soakArrival{}}, drainAnnouncedAt: map[int]time.Time{}}
+	s := &soak{SoakResult: SoakResult{Seed: seed}, rng: rand.New(rand.NewPCG(seed, 0)), startTime: time.Now(),
+		dir: dir, program: program, processes: &processGroup{dir: dir},
+		arrivals:         &soakArrivalLog{byRequest: map[string][]*soakArrival{}},
+		drainAnnouncedAt: map[int]time.Time{}}
 	defer s.processes.stopAll()
 	err := s.run()
 	for _, d := range s.discoveryServers {
@@ -181,12 +185,12 @@
 	if s.rng.IntN(2) == 0 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return fmt.Errorf("open client listener: %w", err)
+			return fmt.Errorf("opening the client listener: %w", err)
 		}
 		defer l.Close()
 		s.listen = l.Addr().String()
 		if s.listener, err = l.(*net.TCPListener).File(); err != nil {
-			return fmt.Errorf("open client listener: %w", err)
+			return fmt.Errorf("opening the client listener: %w", err)
 		}
 	} else {
 		var err error
@@ -203,12 +207,13 @@
 
 // writeConfig writes the current configuration to the configuration file.
 func (s *soak) writeConfig() error {
-	template, err := newSettingsTemplate(FleetDimensions{Balancers: 1, Classes: len(soakRequestClasses) + 1, MaxDiscoveryInterval: 10 * time.Second}, s.settingsVersion, s.list.listing())
+	template, err := newSettingsTemplate(FleetDimensions{Balancers: 1, Classes: len(soakRequestClasses) + 1,
+		MaxDiscoveryInterval: 10 * time.Second}, s.settingsVersion, s.list.listing())
 	if err != nil {
 		return err
 	}
-	_, err = template.write(s.configPath(), BalancerSpec{Name: "b0", Listen: s.listen, Discovery: s.discoveryServers[s.serverIndex].address, Zone: zoneName(0),
-		MemoryMB: 128})
+	_, err = template.write(s.configPath(), BalancerSpec{Name: "b0", Listen: s.listen,
+		Discovery: s.discoveryServers[s.serverIndex].address, Zone: zoneName(0), MemoryMB: 128})
 	return err
 }
 
@@ -220,7 +225,7 @@
 	}
 	tmp := filepath.Join(s.dir, "tmp")
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
-		return nil, fmt.Errorf("start balancer: %w", err)
+		return nil, fmt.Errorf("starting a balancer: %w", err)
 	}
 	cmd := exec.Command(s.program)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+s.configPath(), "TMPDIR="+tmp, "RELAY_OPERATOR="+operatorAddress)
@@ -294,7 +299,7 @@
 	case 1:
 		s.logEvent("configuration file becomes invalid")
 		if err := os.WriteFile(s.configPath(), []byte("{"), 0o600); err != nil {
-			return fmt.Errorf("write invalid configuration: %w", err)
+			return fmt.Errorf("writing an invalid configuration: %w", err)
 		}
 		s.signal(b, syscall.SIGHUP)
 		time.Sleep(soakPause)
@@ -323,8 +328,8 @@
 	return nil
 }
 
-// moveDiscovery changes the configuration to the other discovery server. The previous one stops soakMoveOverlap after the
-// balancer has been signalled.
+// moveDiscovery changes the configuration to the other discovery server. The previous one stops
+// soakMoveOverlap after the balancer has been signalled.
 func (s *soak) moveDiscovery(b *soakBalancer) error {
 	s.logEvent("discovery moves to the other server")
 	s.discoveryOutage = true
@@ -342,8 +347,8 @@
 	return before.setMode(ModeDown)
 }
 
-// drainUpstream announces the drain of an upstream, which lasts until the end of the run. Only half of the upstreams are
-// candidates, so the others always serve.
+// drainUpstream announces the drain of an upstream, which lasts until the end of the run. Only half of the
+// upstreams are candidates, so the others always serve.
 func (s *soak) drainUpstream() {
 	i := s.rng.IntN(soakUpstreams / 2)
 	if _, announced := s.drainAnnouncedAt[i]; announced {
@@ -363,8 +368,8 @@
 	s.upstreams[i].draining.Store(true)
 }
 
-// terminate ends a process with SIGTERM, in some cases followed by another signal or an operator's call, and with SIGKILL
-// after soakKillDelay.
+// terminate ends a process with SIGTERM, in some cases followed by another signal or an operator's call, and
+// with SIGKILL after soakKillDelay.
 func (s *soak) terminate(b *soakBalancer) {
 	s.Restarts++
 	b.terminatedAt = time.Now()
@@ -379,7 +384,8 @@
 		time.Sleep(wait)
 		s.signal(b, syscall.SIGHUP)
 	case 2:
-		s.logEvent("out-of-service call during shutdown succeeded: %v", b.callOperator(http.MethodPut, "/control/out-of-service"))
+		s.logEvent("out-of-service call during shutdown succeeded: %v",
+			b.callOperator(http.MethodPut, "/control/out-of-service"))
 	}
 	select {
 	case <-b.child.exited:
@@ -395,8 +401,8 @@
 
 var errSoak = errors.New("soak test found faults")
 
-// Err returns nil if there are no faults. Otherwise the error lists them with the command that runs the seed again, the
-// request IDs and the log of the run.
+// Err returns nil if there are no faults. Otherwise the error lists them with the command that runs the seed
+// again, the request IDs and the log of the run.
 func (r SoakResult) Err() error {
 	if len(r.Faults) == 0 {
 		return nil
@@ -411,12 +417,13 @@
 	return fmt.Errorf("%w: %s", errSoak, text)
 }
 
-// RunSoaks runs the given number of seeds from first on, up to parallel of them at a time. It writes a line for each seed
-// and the faults of those that fail to out, and returns an error if any fails. If program is empty, it is built.
+// RunSoaks runs the given number of seeds from first on, up to parallel of them at a time. It writes a line
+// for each seed and the faults of those that fail to out, and returns an error if any fails. If program is
+// empty, it is built.
 func RunSoaks(program string, first uint64, seeds, parallel int, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return fmt.Errorf("create directory of the soak test: %w", err)
+		return fmt.Errorf("creating the directory of the soak test: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	if program == "" {
@@ -448,8 +455,8 @@
 		})
 	}
 	running.Wait()
-	fmt.Fprintf(out, "%d seeds from %d on: %d failed, %d delayed; %d requests, %d restarts\n", seeds, first, failed, delayed, requests,
-		restarts)
+	fmt.Fprintf(out, "%d seeds from %d on: %d failed, %d delayed; %d requests, %d restarts\n", seeds, first, failed,
+		delayed, requests, restarts)
 	if failed > 0 {
 		return errSoak
 	}
@@ -460,7 +467,7 @@
 func runSoakInDir(program string, seed uint64, dir string) (SoakResult, error) {
 	seedDir := filepath.Join(dir, fmt.Sprint(seed))
 	if err := os.Mkdir(seedDir, 0o700); err != nil {
-		return SoakResult{}, fmt.Errorf("create directory of a seed: %w", err)
+		return SoakResult{}, fmt.Errorf("creating the directory of a seed: %w", err)
 	}
 	result, err := RunSoak(program, seed, seedDir)
 	if err == nil {
--- a/internal/scale/soak_check.go
+++ b/internal/scale/soak_check.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// This file checks the records of the soak test's clients and upstreams against the protocol's rules, for each request.
+// This file checks the records of the soak test's clients and upstreams against the protocol's rules.
 
 const (
+	// soakDelayTolerance is the tolerated error of recorded times. Timing rules are not checked in runs with
+	// longer scheduling delays.
+	soakDelayTolerance          = 50 * time.Millisecond
 	soakMaxLateness             = 500 * time.Millisecond // of a response after the deadline
 	soakMaxStartAfterAbort      = 100 * time.Millisecond // from a client's abort until an upstream gets the request
-	soakDelayTolerance          = 50 * time.Millisecond  // in recording a request, and of scheduling where timing rules are checked
 	soakDrainGrace              = 500 * time.Millisecond // grace period of drains in the settings
-	soakMaxListDelay            = time.Second            // until the balancer has a change of the list
-	soakMaxListDelayAfterOutage = 6 * time.Second        // the same if discovery had an outage or moved
+	soakMaxListDelay            = time.Second            // until a change of the list is in force on the balancer
+	soakMaxListDelayAfterOutage = 6 * time.Second        // the same if discovery was unavailable or moved
 )
 
 // check checks all requests.
@@ -35,8 +37,10 @@
 		if arrival.executed {
 			executed++
 		}
-		if !r.abortedAt.IsZero() && s.onSchedule() && arrival.arrivedAt.Sub(r.abortedAt) > soakMaxStartAfterAbort+soakDelayTolerance {
-			s.fault("begun for nobody", r.id, "arrived at upstream %d, %v after its client had closed the connection", arrival.upstream, arrival.arrivedAt.Sub(r.abortedAt))
+		if !r.abortedAt.IsZero() && s.onSchedule() &&
+			arrival.arrivedAt.Sub(r.abortedAt) > soakMaxStartAfterAbort+soakDelayTolerance {
+			s.fault("begun for nobody", r.id, "arrived at upstream %d, %v after its client had closed the connection",
+				arrival.upstream, arrival.arrivedAt.Sub(r.abortedAt))
 		}
 		s.checkDrain(r, arrival)
 	}
@@ -53,7 +57,8 @@
 	if r.sentAt.IsZero() || !r.abortedAt.IsZero() || r.pipelined {
 		return
 	}
-	if elapsed := r.endedAt.Sub(r.sentAt); s.onSchedule() && r.status != 0 && elapsed > soakRequestDeadline+soakMaxLateness {
+	if elapsed := r.endedAt.Sub(r.sentAt); s.onSchedule() && r.status != 0 &&
+		elapsed > soakRequestDeadline+soakMaxLateness {
 		s.fault("late", r.id, "status %d after %v", r.status, elapsed)
 	}
 	if r.status == 0 && s.wasAccepted(r, arrivals) {
@@ -76,14 +81,15 @@
 	}
 }
 
-// onSchedule reports whether timing rules can be checked. If the soak test's own process had longer scheduling delays,
-// the machine was overloaded and the balancer was probably delayed too.
+// onSchedule reports whether timing rules can be checked. If the soak test's own process had longer
+// scheduling delays, the machine was overloaded and the balancer was probably delayed too.
 func (s *soak) onSchedule() bool { return s.MaxDelay <= soakDelayTolerance }
 
-// wasAccepted reports whether a request without a response was certainly accepted by a balancer: it reached an upstream,
-// or it came on a new connection while the balancer did not close connections without reading them. A balancer may do so
-// while it is out of service, after SIGTERM and with a crowd of idle clients. It may close a reused connection at any
-// time; a request that is sent meanwhile stays unread, and the client may send it again.
+// wasAccepted reports whether a request without a response was certainly accepted by a balancer: it reached
+// an upstream, or it came on a new connection while the balancer did not close connections without reading
+// them. A balancer may do so while it is out of service, after SIGTERM and with many idle clients. It may
+// close a reused connection at any time; a request that is sent meanwhile stays unread, and the client may
+// send it again.
 func (s *soak) wasAccepted(r *soakRequest, arrivals []*soakArrival) bool {
 	if len(arrivals) > 0 {
 		return true
@@ -92,7 +98,8 @@
 		return false
 	}
 	for _, window := range s.closeWindows {
-		if r.endedAt.After(window.from) && (window.to.IsZero() || r.connectedAt.Before(window.to)) && r.endedAt.Sub(r.sentAt) < soakRequestDeadline {
+		if r.endedAt.After(window.from) && (window.to.IsZero() || r.connectedAt.Before(window.to)) &&
+			r.endedAt.Sub(r.sentAt) < soakRequestDeadline {
 			return false
 		}
 	}
--- a/internal/scale/soak_client.go
+++ b/internal/scale/soak_client.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// This file implements the clients of the soak test. Each sends one request after another on its connection for as long as
-// the connection is open.
+// This file implements the clients of the soak test. Each sends one request after another on its connection
+// for as long as the connection is open.
 
 const (
 	soakRequestDeadline    = 750 * time.Millisecond // deadline of all requests
@@ -21,7 +21,7 @@
 	soakPause              = 10 * time.Millisecond  // mean time between requests, also used between polls and reconnects
 	soakChunkSize          = 16 << 10               // bytes per write of an upload
 	soakMaxAbortDelay      = 150 * time.Millisecond // longest time until a client aborts its request
-	soakAbortedUploadBytes = 80 << 10               // size of an upload that is aborted; fits the balancer's receive buffer
+	soakAbortedUploadBytes = 80 << 10               // size of an aborted upload; fits the balancer's receive buffer
 )
 
 // soakRequestClass is a class of requests.
@@ -29,7 +29,7 @@
 	name          string
 	method        string
 	nonIdempotent bool
-	sendsKey      bool
+	sendsKey      bool // with an Idempotency-Key header
 }
 
 var soakRequestClasses = []soakRequestClass{
@@ -48,16 +48,16 @@
 	abortedAt   time.Time // when the client closed the connection early; zero if it did not
 	pipelined   bool      // another request was written before the response
 	status      int       // 0 if there was no response
-	body        string
+	body        string    // of the response
 	endedAt     time.Time // when the response was complete or the connection ended
 }
 
-// soakClients records the requests of all clients.
+// soakClients records the requests of all clients. mu guards lastSerial and requests.
 type soakClients struct {
 	address    string
 	seed       uint64
 	mu         sync.Mutex
-	lastSerial int
+	lastSerial int // serial number of the last request
 	requests   []*soakRequest
 }
 
@@ -66,7 +66,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastSerial++
-	r := &soakRequest{id: fmt.Sprintf("%08x%08x", s.seed, s.lastSerial), class: soakRequestClasses[rng.IntN(len(soakRequestClasses))]}
+	r := &soakRequest{id: fmt.Sprintf("%08x%08x", s.seed, s.lastSerial),
+		class: soakRequestClasses[rng.IntN(len(soakRequestClasses))]}
 	s.requests = append(s.requests, r)
 	return r
 }
@@ -107,8 +108,8 @@
 	}
 }
 
-// exchange sends a request and reads the response. At random it uploads a large body in chunks, aborts the request, or
-// pipelines a second one. It reports whether the connection can be used again.
+// exchange sends a request and reads the response. At random it uploads a large body in chunks, aborts the
+// request, or pipelines a second one. It reports whether the connection can be used again.
 func (r *soakRequest) exchange(c net.Conn, reader *bufio.Reader, rng *rand.Rand) bool {
 	size := 0
 	if r.class.method == http.MethodPost {
@@ -147,8 +148,8 @@
 // write writes the request, with pauses between the chunks of its body if inChunks is set.
 func (r *soakRequest) write(c net.Conn, size int, inChunks bool) error {
 	c.SetDeadline(time.Now().Add(soakClientTimeout))
-	header := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n", r.class.method,
-		r.class.name, r.id, r.class.name, soakRequestDeadline.Milliseconds())
+	header := fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n",
+		r.class.method, r.class.name, r.id, r.class.name, soakRequestDeadline.Milliseconds())
 	if r.class.sendsKey {
 		header += "Idempotency-Key: " + r.id + "\r\n"
 	}
--- a/internal/scale/soak_upstream.go
+++ b/internal/scale/soak_upstream.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// This file implements the upstreams of the soak test. Each has its own listener, so that arrivals are attributed to it.
-// The behavior of an upstream for a request is determined by the request ID.
+// This file implements the upstreams of the soak test. Each has its own listener, so that arrivals are
+// attributed to it. The request ID determines how an upstream behaves for a request.
 
 const (
 	soakUpstreamTime   = 5 * time.Millisecond // response time of an upstream
-	soakBehaviourCount = 100                  // behaviors are numbers below this
+	soakBehaviourCount = 100                  // behaviours are numbers below this
 	soakHangBelow      = 4                    // below this, an upstream does not respond
 	soakResetBelow     = 7                    // below this, it resets the connection after it has read the request
 	soakErrorBelow     = 9                    // below this, it responds with status 500
@@ -64,7 +64,7 @@
 func newSoakUpstream(index int, arrivals *soakArrivalLog) (*soakUpstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("open upstream listener: %w", err)
+		return nil, fmt.Errorf("opening an upstream listener: %w", err)
 	}
 	u := &soakUpstream{index: index, arrivals: arrivals, address: l.Addr().String()}
 	u.server = &http.Server{Handler: u}
@@ -72,7 +72,7 @@
 	return u, nil
 }
 
-// soakBehavior returns a number below soakBehaviorCount that is a hash of the request ID.
+// soakBehaviour returns a number below soakBehaviourCount that is a hash of the request ID.
 func soakBehaviour(id string) int {
 	h := fnv.New32a()
 	io.WriteString(h, id) // a hash's Write never fails
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -1,6 +1,6 @@
 package scale
 
-// Sizes of the target fleet that measurements are scaled to.
+// Sizes of the target fleet, to which measurements are extrapolated.
 const (
 	TargetBalancers = 950
 	TargetUpstreams = 14000
--- a/internal/scale/traffic.go
+++ b/internal/scale/traffic.go
@@ -17,10 +17,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// This file has the upstreams and the clients of the real balancers, which run in the process of the run. All
-// upstreams of a zone share one listening socket. The added latency of a request is the client's time, from
-// before the request is written until the response has been read, minus the upstream's time, from the last
-// byte of the request until the response is written. It includes what this process adds.
+// This file has the upstreams and the clients of the real balancers, which run in the process of the scale
+// run itself. All upstreams of a zone share one listening socket. The added latency of a request is the
+// client's time, from before the request is written until the response has been read, minus the upstream's
+// time, from the last byte of the request until the response is written. It includes what this process adds.
 
 const (
 	serviceTime         = 5 * time.Millisecond // of an upstream for a request
@@ -88,8 +88,8 @@
 	start := time.Now()
 	time.Sleep(serviceTime)
 	if r.Context().Err() != nil {
-		slog.Info("connection closed while an upstream was serving the request", "request", r.Header.Get("X-Request-Id"), "method", r.Method,
-			"key", r.Header.Get("Idempotency-Key") != "")
+		slog.Info("connection closed while an upstream was serving the request", "request", r.Header.Get("X-Request-Id"),
+			"method", r.Method, "key", r.Header.Get("Idempotency-Key") != "")
 	}
 	w.Header().Set("X-Load", "util=0.30")
 	io.WriteString(w, strconv.FormatInt(int64(time.Since(start)), 10))
@@ -111,11 +111,13 @@
 	addedLatency *hdrhistogram.Histogram // µs
 }
 
+// newStatsRecorder returns a recorder without requests.
 func newStatsRecorder() *statsRecorder {
 	return &statsRecorder{stats: ClientStats{Statuses: map[string]int{}},
 		addedLatency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 }
 
+// record counts a request with its status. addedLatency counts only for status 200.
 func (c *statsRecorder) record(status string, addedLatency time.Duration, moved int) {
 	c.stats.Requests++
 	c.stats.Moved += moved
@@ -124,9 +126,11 @@
 	}
 }
 
+// snapshot returns the statistics so far.
 func (c *statsRecorder) snapshot() ClientStats {
 	s := c.stats
-	s.AddedP50, s.AddedP99 = float64(c.addedLatency.ValueAtQuantile(50))/1000, float64(c.addedLatency.ValueAtQuantile(99))/1000
+	s.AddedP50, s.AddedP99 = float64(c.addedLatency.ValueAtQuantile(50))/1000,
+		float64(c.addedLatency.ValueAtQuantile(99))/1000
 	s.AddedMax = float64(c.addedLatency.Max()) / 1000
 	return s
 }
@@ -143,7 +147,7 @@
 	lastSerial    atomic.Uint64  // serial number of the last request
 	inFlight      atomic.Int64
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards total and byProgram
 	total     *statsRecorder
 	byProgram []*statsRecorder // by program of the last balancer tried
 }
@@ -160,6 +164,7 @@
 	return t
 }
 
+// reset drops the statistics. The caller holds mu, unless t is still being created.
 func (t *traffic) reset() {
 	t.total = newStatsRecorder()
 	for i := range t.byProgram {
@@ -269,8 +274,8 @@
 
 // logNotServed logs a request that was not served, with its X-Request-Id.
 func (t *traffic) logNotServed(serial uint64, kind string, i int, status string, start time.Time) {
-	slog.Info("request not served", "request", fmt.Sprintf("%016x", serial), "kind", kind, "balancer", t.realBalancers[i].spec.Name,
-		"zone", t.realBalancers[i].spec.Zone, "answer", status, "after", time.Since(start))
+	slog.Info("request not served", "request", fmt.Sprintf("%016x", serial), "kind", kind, "balancer",
+		t.realBalancers[i].spec.Name, "zone", t.realBalancers[i].spec.Zone, "answer", status, "after", time.Since(start))
 }
 
 // describeRequestError returns the status under which a request without a response is counted.
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file reads the processor time and the memory of processes: of the calling process with getrusage, of others with
-// procfs.
+// This file reads the processor time and the memory of processes: of the calling process with getrusage, of
+// others with procfs.
 
 // Usage is the resource use of a process at one moment.
 type Usage struct {
@@ -21,8 +21,8 @@
 	Heap int64         `json:"heap_bytes"` // live heap after a garbage collection; 0 if not read
 }
 
-// ownUsage returns the use of the calling process. If withHeap is set, it collects garbage to read the live heap, after
-// it has read the processor time, which does not include the collection.
+// ownUsage returns the use of the calling process. If withHeap is set, it collects garbage to read the live
+// heap, after it has read the processor time, which does not include the collection.
 func ownUsage(withHeap bool) (Usage, error) {
 	u, err := processUsage(syscall.Getpid())
 	if err != nil {
@@ -46,29 +46,30 @@
 func processUsage(pid int) (Usage, error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
-		return Usage{}, fmt.Errorf("read usage of process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("reading the usage of process %d: %w", pid, err)
 	}
 	s, err := p.Stat()
 	if err != nil {
-		return Usage{}, fmt.Errorf("read usage of process %d: %w", pid, err)
+		return Usage{}, fmt.Errorf("reading the usage of process %d: %w", pid, err)
 	}
-	return Usage{At: time.Now().UnixNano(), CPU: time.Duration(s.CPUTime() * float64(time.Second)), RSS: int64(s.ResidentMemory())}, nil
+	return Usage{At: time.Now().UnixNano(), CPU: time.Duration(s.CPUTime() * float64(time.Second)),
+		RSS: int64(s.ResidentMemory())}, nil
 }
 
-// processorBusyTime returns the total time for which the processors that this process may run on have been busy with any
-// work since the system was started. It has a resolution of 10 ms.
+// processorBusyTime returns the total time for which the processors that this process may run on have been
+// busy with any work since the system was started. It has a resolution of 10 ms.
 func processorBusyTime() (time.Duration, error) {
 	var allowed unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &allowed); err != nil {
-		return 0, fmt.Errorf("read processor times: %w", err)
+		return 0, fmt.Errorf("reading the processor times: %w", err)
 	}
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
-		return 0, fmt.Errorf("read processor times: %w", err)
+		return 0, fmt.Errorf("reading the processor times: %w", err)
 	}
 	s, err := fs.Stat()
 	if err != nil {
-		return 0, fmt.Errorf("read processor times: %w", err)
+		return 0, fmt.Errorf("reading the processor times: %w", err)
 	}
 	sum := 0.0
 	for n, c := range s.CPU {
--- a/internal/scale/vary.go
+++ b/internal/scale/vary.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// This file measures the slopes over a running fleet: one quantity is varied while all others are fixed. Each point starts
-// a new fleet and measures it at rest, while the list changes at a fixed rate and, for some slopes, while the settings
-// change. All balancers are hollow, so that the figures do not include traffic.
+// This file measures the slopes over a running fleet: one quantity is varied while all others are fixed. Each
+// point starts a new fleet and measures it at rest, while the list changes at a fixed rate and, for some
+// slopes, while the settings change. All balancers are hollow, so that the figures do not include traffic.
 
 const (
-	reloadsPerPoint = 3
-	// pointReloadTimeout is the timeout of each reload that is measured.
+	reloadsPerPoint = 3 // measured changes of the settings at each point
+	// pointReloadTimeout is the time that each measured reload may take.
 	pointReloadTimeout = 4 * time.Second
 	// maxBusyShare is the share of the processors' time above which a point is marked as saturated, since its latencies
 	// then include waiting for a processor.
@@ -30,8 +30,8 @@
 }
 
 // baseSize is the size of the fleet in slopes, apart from the varied quantity and the options of the run.
-var baseSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: 1000, Zones: 7, Classes: 20, Tenants: 100, MaxDiscoveryInterval: 10 * time.Second},
-	Hollow: 40, DiscoveryServers: 4, Rate: 240}
+var baseSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: 1000, Zones: 7,
+	Classes: 20, Tenants: 100, MaxDiscoveryInterval: 10 * time.Second}, Hollow: 40, DiscoveryServers: 4, Rate: 240}
 
 // releaseRate is the number of list changes per second in a release that replaces all upstreams within an hour, with
 // three changes for each upstream.
@@ -42,30 +42,37 @@
 
 // variations lists the slopes in the order in which they are run.
 var variations = []variation{
-	{name: "upstreams", variable: "upstreams", x: []float64{1750, 3500, 7000, TargetUpstreams}, changeRate: constantRate(2), measureReloads: true,
+	{name: "upstreams", variable: "upstreams", x: []float64{1750, 3500, 7000, TargetUpstreams},
+		changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Upstreams, s.Hollow = int(x), 16; return s }},
 	{name: "balancers", variable: "hollow balancers", x: []float64{50, 100, 200, 400}, changeRate: constantRate(2),
 		size: func(s Size, x float64) Size { s.Hollow = int(x); return s }},
-	{name: "tenants", variable: "tenants", x: []float64{TargetTenants / 8, TargetTenants / 4, TargetTenants / 2, TargetTenants}, changeRate: constantRate(2), measureReloads: true,
+	{name: "tenants", variable: "tenants",
+		x:          []float64{TargetTenants / 8, TargetTenants / 4, TargetTenants / 2, TargetTenants},
+		changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Tenants, s.Hollow = int(x), 8; return s }},
-	{name: "classes", variable: "classes", x: []float64{TargetClasses / 8, TargetClasses / 4, TargetClasses / 2, TargetClasses}, changeRate: constantRate(2), measureReloads: true,
+	{name: "classes", variable: "classes",
+		x:          []float64{TargetClasses / 8, TargetClasses / 4, TargetClasses / 2, TargetClasses},
+		changeRate: constantRate(2), measureReloads: true,
 		size: func(s Size, x float64) Size { s.Classes, s.Hollow = int(x), 8; return s }},
-	{name: "changes", variable: "changes a second", x: []float64{releaseRate / 8, releaseRate / 4, releaseRate / 2, releaseRate},
-		size: func(s Size, _ float64) Size { s.Upstreams, s.Hollow = TargetUpstreams, 8; return s }, changeRate: func(x float64) float64 { return x }, measureBurst: true},
+	{name: "changes", variable: "changes a second",
+		x:          []float64{releaseRate / 8, releaseRate / 4, releaseRate / 2, releaseRate},
+		size:       func(s Size, _ float64) Size { s.Upstreams, s.Hollow = TargetUpstreams, 8; return s },
+		changeRate: func(x float64) float64 { return x }, measureBurst: true},
 }
 
 // Point holds the measurements at one point of a slope.
 type Point struct {
 	X             float64     `json:"x"`
 	Size          Size        `json:"size"`
-	StartCPU      float64     `json:"start_cpu_ms"` // mean processor time of a hollow balancer until the fleet has settled
+	StartCPU      float64     `json:"start_cpu_ms"` // mean of a hollow balancer until the fleet has settled
 	AtRest        ResourceUse `json:"rest"`
 	ChangeRate    float64     `json:"changes_per_s"`
 	WhileChanging ResourceUse `json:"busy"` // while the list changed
 	InForce       InForce     `json:"in_force"`
 	CPUPerChange  float64     `json:"cpu_us_per_change"` // of a hollow balancer, in addition to its use at rest
-	// Reloads are the changes of the settings. ReloadCPU is the mean processor time of a hollow balancer for one of them,
-	// in addition to its use at rest.
+	// Reloads are the changes of the settings. ReloadCPU is the mean processor time of a hollow balancer for one
+	// of them, in addition to its use at rest.
 	Reloads   []Reload `json:"reloads,omitempty"`
 	ReloadCPU float64  `json:"reload_cpu_ms"`
 	Bursts    []Burst  `json:"bursts,omitempty"`
@@ -138,7 +145,8 @@
 	usedCores := func(s ResourceUse) float64 { return s.HollowCores + s.DiscoveryCPU/1e6 + s.DriverCores + s.OtherCores }
 	p.Saturated = max(usedCores(p.AtRest), usedCores(p.WhileChanging)) > maxBusyShare*float64(r.processors)
 	if v.measureBurst && x == v.x[len(v.x)-1] {
-		for _, event := range []struct{ name, method string }{{"a zone lost", "Discovery.Lose"}, {"the zone back, cold", "Discovery.Regain"}} {
+		for _, event := range []struct{ name, method string }{{"a zone lost", "Discovery.Lose"},
+			{"the zone back, cold", "Discovery.Regain"}} {
 			if err := r.measureBurst(f, &p, event.name, event.method); err != nil {
 				return p, err
 			}
@@ -213,7 +221,8 @@
 		}
 		result.Points = append(result.Points, p)
 		r.logProgress("  at rest %.0f us/s of a core, %.2f MB live heap; at %.3g changes/s %.0f us per change, %.0f B/s in, in force p99 %.0f ms, last %.0f, missing %d",
-			p.AtRest.HollowCPU, p.AtRest.HollowHeap, p.ChangeRate, p.CPUPerChange, p.WhileChanging.In, p.InForce.P99, p.InForce.Last, p.InForce.Missing)
+			p.AtRest.HollowCPU, p.AtRest.HollowHeap, p.ChangeRate, p.CPUPerChange, p.WhileChanging.In, p.InForce.P99,
+			p.InForce.Last, p.InForce.Missing)
 	}
 	result.fit(v)
 	return result, nil
@@ -227,7 +236,8 @@
 	value      func(p Point) float64
 }{
 	{"control at rest", "us of a core a second", false, func(p Point) float64 { return p.AtRest.HollowCPU }},
-	{"control while the list changes", "us of a core a second", false, func(p Point) float64 { return p.WhileChanging.HollowCPU }},
+	{"control while the list changes", "us of a core a second", false,
+		func(p Point) float64 { return p.WhileChanging.HollowCPU }},
 	{"one change of the list", "us of a core", false, func(p Point) float64 { return p.CPUPerChange }},
 	{"live heap", "MB", false, func(p Point) float64 { return p.AtRest.HollowHeap }},
 	{"resident memory", "MB", false, func(p Point) float64 { return p.WhileChanging.HollowRSS }},
@@ -238,14 +248,16 @@
 	{"change in force, p50", "ms", false, func(p Point) float64 { return p.InForce.P50 }},
 	{"change in force, p99", "ms", false, func(p Point) float64 { return p.InForce.P99 }},
 	{"change in force, the last balancer", "ms", false, func(p Point) float64 { return p.InForce.Last }},
-	{"discovery's processor time while the list changes", "us of a core a second", false, func(p Point) float64 { return p.WhileChanging.DiscoveryCPU }},
+	{"discovery's processor time while the list changes", "us of a core a second", false,
+		func(p Point) float64 { return p.WhileChanging.DiscoveryCPU }},
 	{"discovery's calls while the list changes", "calls/s", false, func(p Point) float64 { return p.WhileChanging.Calls }},
-	{"discovery's bytes out while the list changes", "B/s", false, func(p Point) float64 { return p.WhileChanging.DiscoveryOut }},
+	{"discovery's bytes out while the list changes", "B/s", false,
+		func(p Point) float64 { return p.WhileChanging.DiscoveryOut }},
 	{"cores that others used", "cores", false, func(p Point) float64 { return p.WhileChanging.OtherCores }},
 	{"a change of the settings", "ms of a core", true, func(p Point) float64 { return p.ReloadCPU }},
 }
 
-// fit fits a curve to each figure.
+// fit fits a curve to each figure of the slope that v describes and adds it to Slopes.
 func (r *SlopeResult) fit(v variation) {
 	for _, figure := range slopeFigures {
 		if figure.reloadOnly && !v.measureReloads {
