--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -211,6 +211,7 @@
 	return sum
 }
 
+// errMemoryLimit is the reason for aborting a run that exceeds maxRunMemoryBytes.
 var errMemoryLimit = errors.New("memory limit of the run exceeded")
 
 // watchMemory checks the memory at intervals until stop is closed. When the limit is exceeded it calls
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -156,7 +156,8 @@
 	return s.mode == ModeSilent
 }
 
-// ServeHTTP answers a call for the list.
+// ServeHTTP answers a call for the list. A silent server holds the call until its mode changes or the caller
+// gives up, and then resets the connection.
 func (s *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	modeCtx := s.modeCtx
@@ -195,6 +196,7 @@
 	w.Write(response.body) // on an error the caller repeats the call
 }
 
+// Reasons for failed calls.
 var (
 	errCallAborted  = errors.New("discovery: call aborted by a mode change or by the caller")
 	errQueueTooLong = errors.New("discovery: too many calls wait")
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -22,7 +22,7 @@
 	FleetDimensions
 	Hollow           int     `json:"hollow"`   // hollow balancers
 	Real             int     `json:"real"`     // real balancers
-	DiscoveryServers int     `json:"machines"` // discovery servers
+	DiscoveryServers int     `json:"machines"` // servers of the stand-in discovery
 	Costs            Costs   `json:"costs"`    // of a call to discovery
 	Rate             float64 `json:"rate"`     // requests per second to all real balancers together
 }
@@ -288,7 +288,7 @@
 	OtherCores  float64 `json:"others_cores"`
 }
 
-const bytesPerMB = 1 << 20
+const bytesPerMB = 1 << 20 // in the figures of fleets
 
 // resourceUse returns the resource use between two readings.
 func (f *fleet) resourceUse(before, after usageReading) ResourceUse {
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -41,6 +41,7 @@
 	heapRuns      = 3 // the smallest heap is taken
 )
 
+// Sizes at which slopes are measured, up to those of the target fleet.
 var (
 	upstreamSizes  = doublingSizes(TargetUpstreams)
 	classSizes     = doublingSizes(TargetClasses)
@@ -99,11 +100,13 @@
 	return s
 }
 
+// Notes of slopes on how a point was measured.
 const (
 	lowestBatchNote = "processor time with what the collector takes; the cheapest of 5 batches"
 	lowestHeapNote  = "live after a collection, the least of 3"
 )
 
+// inProcessMeasurements lists the in-process slopes in the order in which they are measured.
 var inProcessMeasurements = []measurement{
 	{"step: the module each second, at rest", "ms", "upstreams", lowestBatchNote, upstreamSizes,
 		func(n int) (float64, error) { return stepCost(n, fixedTenants, false) }},
--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -16,8 +16,8 @@
 	recoveryTime     = 12 * time.Second // measured after the end of an outage or a restart
 	busiestWindow    = time.Second      // interval at which busiestSecond samples discovery
 	serverSilentTime = 20 * time.Second // how long the discovery server is silent
-	lostZone         = 0                // index
-	silentServer     = 0                // index
+	lostZone         = 0                // index of the zone that is lost
+	silentServer     = 0                // index of the discovery server that is silent
 )
 
 // sceneSize is the default size of a scene's fleet: all upstreams of the target fleet, but only as many
@@ -151,8 +151,8 @@
 }
 
 // playSettings changes the settings repeatedly. On hollow balancers a version counts as in force once it or a
-// newer one is. Real balancers have to serve a request of the version's own class before the next version is
-// written, or within inForceTimeout for the last one.
+// newer one is. Real balancers have to serve a request of the version's own class within nine tenths of the
+// interval between versions, or within inForceTimeout for the last one.
 func playSettings(r *Run, f *fleet, result *Scene) error {
 	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.SettingsInterval),
 		func(p *Phase) ([]RevisionTime, error) {
--- a/internal/scale/soak.go
+++ b/internal/scale/soak.go
@@ -399,6 +399,7 @@
 	}
 }
 
+// errSoak is returned for seeds with faults.
 var errSoak = errors.New("soak test found faults")
 
 // Err returns nil if there are no faults. Otherwise the error lists them with the command that runs the seed
--- a/internal/scale/soak_client.go
+++ b/internal/scale/soak_client.go
@@ -32,6 +32,7 @@
 	sendsKey      bool // with an Idempotency-Key header
 }
 
+// soakRequestClasses are the first classes of the settings that newSettingsTemplate writes.
 var soakRequestClasses = []soakRequestClass{
 	{name: "c0", method: http.MethodGet},
 	{name: "c1", method: http.MethodPost, sendsKey: true},
