--- a/internal/scale/scenes.go
+++ b/internal/scale/scenes.go
@@ -12,19 +12,19 @@
 // and what clients saw.
 
 const (
-	zoneOutage    = 20 * time.Second // how long the zone is lost
-	recoveryTime  = 12 * time.Second // observed after the end of an event
-	busiestWindow = time.Second      // over which the load on discovery is compared
-	machineOutage = 20 * time.Second // how long the machine of discovery is silent
-	lostZone      = 0                // index
-	lostMachine   = 0                // index
+	zoneOutage       = 20 * time.Second // how long the zone is lost
+	recoveryTime     = 12 * time.Second // measured after the end of an outage or a restart
+	busiestWindow    = time.Second      // interval at which busiestSecond samples discovery
+	serverSilentTime = 20 * time.Second // how long the discovery server is silent
+	lostZone         = 0                // index of the zone that is lost
+	silentServer     = 0                // index of the discovery server that is silent
 )
 
-// sceneSize is the default size of a scene's fleet: all upstreams, and as many balancers as two cores can
-// run.
-var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: Balancers, Upstreams: Upstreams, Zones: 7, Classes: 20,
-	Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
-	Hollow: 24, Real: 8, Machines: 4, Rate: 240}
+// sceneSize is the default size of a scene's fleet: all upstreams of the target fleet, but only as many
+// balancers as two cores can run.
+var sceneSize = Size{FleetDimensions: FleetDimensions{Balancers: TargetBalancers, Upstreams: TargetUpstreams,
+	Zones: 7, Classes: 20, Tenants: 1000, MaxDiscoveryInterval: 10 * time.Second},
+	Hollow: 24, Real: 8, DiscoveryServers: 4, Rate: 240}
 
 // Scene is the result of a scene.
 type Scene struct {
@@ -41,7 +41,7 @@
 	ListInForce      InForce        `json:"lists"`               // changes of the list on hollow balancers
 	SettingsInForce  InForce        `json:"settings"`            // changes of the settings on hollow balancers
 	SettingsServed   []InForce      `json:"settings_served"`     // until real balancers served the new class, by program
-	NotServed        []StatusCounts `json:"settings_not_served"` // last statuses on balancers that never served it, by program
+	NotServed        []StatusCounts `json:"settings_not_served"` // last status on each balancer that never did, by program
 	ResourceUse      ResourceUse    `json:"spent"`
 	BusiestSecond    ResourceUse    `json:"busiest_second"` // the second with the most calls to discovery
 	Clients          ClientStats    `json:"clients"`
@@ -59,15 +59,16 @@
 	{"settings", playSettings},
 	{"zone", playZone},
 	{"restart", playRestart},
-	{"machine", playMachine},
+	{"machine", playSilentServer},
 	{"cut", playCut},
 }
 
 // playScene plays a scene on a new fleet.
 func (r *Run) playScene(s scene) (Scene, error) {
-	result := Scene{Name: s.name, Size: r.options.Size.withDefaults(sceneSize), Programs: r.programNames, Figures: map[string]float64{}}
-	r.logProgress("scene %s: starting %d hollow and %d real balancers with %d upstreams, %d classes, %d tenants", s.name, result.Size.Hollow,
-		result.Size.Real, result.Size.Upstreams, result.Size.Classes, result.Size.Tenants)
+	result := Scene{Name: s.name, Size: r.options.Size.withDefaults(sceneSize), Programs: r.programNames,
+		Figures: map[string]float64{}}
+	r.logProgress("scene %s: starting %d hollow and %d real balancers with %d upstreams, %d classes, %d tenants",
+		s.name, result.Size.Hollow, result.Size.Real, result.Size.Upstreams, result.Size.Classes, result.Size.Tenants)
 	f, err := newFleet(result.Size, r.processes, r.programs...)
 	if err != nil {
 		return result, err
@@ -81,9 +82,10 @@
 	return result, s.play(r, f, &result)
 }
 
-// measurePhase measures a phase while do runs and until the revisions that it returns are in force, and adds
-// it to result.
-func (r *Run) measurePhase(f *fleet, result *Scene, name string, do func(p *Phase) ([]RevisionTime, error)) (Phase, error) {
+// measurePhase measures a phase while do runs and until the revisions that do returns are in force or
+// inForceTimeout is over, and adds the phase to result.
+func (r *Run) measurePhase(f *fleet, result *Scene, name string,
+	do func(p *Phase) ([]RevisionTime, error)) (Phase, error) {
 	p := Phase{Name: name}
 	if err := f.forgetChanges(); err != nil {
 		return p, err
@@ -138,7 +140,8 @@
 			break
 		}
 		nowAt := time.Now()
-		use := (&fleet{size: f.size}).resourceUse(usageReading{at: at, discovery: before}, usageReading{at: nowAt, discovery: now})
+		use := (&fleet{size: f.size}).resourceUse(usageReading{at: at, discovery: before},
+			usageReading{at: nowAt, discovery: now})
 		if use.Calls >= busiest.Calls {
 			busiest = use
 		}
@@ -148,51 +151,53 @@
 }
 
 // playSettings changes the settings repeatedly. On hollow balancers a version counts as in force once it or a
-// newer one is. Real balancers have to serve a request of the version's own class before the next version is
-// written, or within inForceTimeout for the last one.
+// newer one is. Real balancers have to serve a request of the version's own class within nine tenths of the
+// interval between versions, or within inForceTimeout for the last one.
 func playSettings(r *Run, f *fleet, result *Scene) error {
-	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.SettingsInterval), func(p *Phase) ([]RevisionTime, error) {
-		realDelays := make([]Delays, len(f.programs))
-		for range f.programs {
-			p.NotServed = append(p.NotServed, StatusCounts{})
-		}
-		changes := 0
-		for start, last := time.Now(), false; !last; changes++ {
-			next := time.Now().Add(r.options.SettingsInterval)
-			last = time.Since(start)+r.options.SettingsInterval >= r.options.PhaseDuration
-			timeout := r.options.SettingsInterval - r.options.SettingsInterval/10
-			if last {
-				timeout = inForceTimeout
+	_, err := r.measurePhase(f, result, fmt.Sprintf("a change of the settings each %v", r.options.SettingsInterval),
+		func(p *Phase) ([]RevisionTime, error) {
+			realDelays := make([]Delays, len(f.programs))
+			for range f.programs {
+				p.NotServed = append(p.NotServed, StatusCounts{})
 			}
-			change, err := f.reload(timeout)
+			changes := 0
+			for start, last := time.Now(), false; !last; changes++ {
+				next := time.Now().Add(r.options.SettingsInterval)
+				last = time.Since(start)+r.options.SettingsInterval >= r.options.PhaseDuration
+				timeout := r.options.SettingsInterval - r.options.SettingsInterval/10
+				if last {
+					timeout = inForceTimeout
+				}
+				change, err := f.reload(timeout)
+				if err != nil {
+					return nil, err
+				}
+				for i, d := range change.servedDelays {
+					realDelays[i].Micros, realDelays[i].Missing = append(realDelays[i].Micros, d.Micros...),
+						realDelays[i].Missing+d.Missing
+					for status, n := range change.NotServed[i] {
+						p.NotServed[i][status] += n
+					}
+				}
+				if !last {
+					time.Sleep(time.Until(next))
+				}
+			}
+			hollowDelays, err := f.collectDelays("Hollow.SettingsSince", f.delivered)
 			if err != nil {
 				return nil, err
 			}
-			for i, d := range change.servedDelays {
-				realDelays[i].Micros, realDelays[i].Missing = append(realDelays[i].Micros, d.Micros...), realDelays[i].Missing+d.Missing
-				for status, n := range change.NotServed[i] {
-					p.NotServed[i][status] += n
-				}
-			}
-			if !last {
-				time.Sleep(time.Until(next))
+			p.SettingsInForce = summarise(changes, hollowDelays)
+			r.logProgress("  settings in force on hollow balancers: p99 %.0f ms, last %.0f ms, missing %d",
+				p.SettingsInForce.P99, p.SettingsInForce.Last, p.SettingsInForce.Missing)
+			for i, d := range realDelays {
+				s := summarise(changes, d)
+				p.SettingsServed = append(p.SettingsServed, s)
+				r.logProgress("  new class served by real balancers of program %d: p99 %.0f ms, last %.0f ms, missing %d %v",
+					i+1, s.P99, s.Last, s.Missing, p.NotServed[i])
 			}
-		}
-		hollowDelays, err := f.collectDelays("Hollow.SettingsSince", f.delivered)
-		if err != nil {
-			return nil, err
-		}
-		p.SettingsInForce = summarize(changes, hollowDelays)
-		r.logProgress("  settings in force on hollow balancers: p99 %.0f ms, last %.0f ms, missing %d", p.SettingsInForce.P99,
-			p.SettingsInForce.Last, p.SettingsInForce.Missing)
-		for i, d := range realDelays {
-			s := summarize(changes, d)
-			p.SettingsServed = append(p.SettingsServed, s)
-			r.logProgress("  new class served by real balancers of program %d: p99 %.0f ms, last %.0f ms, missing %d %v", i+1, s.P99,
-				s.Last, s.Missing, p.NotServed[i])
-		}
-		return nil, nil
-	})
+			return nil, nil
+		})
 	return err
 }
 
@@ -248,7 +253,7 @@
 	return err
 }
 
-// playRestart restarts a tenth of the fleet at once while the list changes.
+// playRestart restarts a tenth of the balancers at once and makes one change of the list.
 func playRestart(r *Run, f *fleet, result *Scene) error {
 	n := 0
 	paths := f.selectPaths(func(BalancerSpec) bool { n++; return n%10 == 1 })
@@ -288,19 +293,19 @@
 	return err
 }
 
-// playMachine makes one machine of discovery silent while the list changes, and brings it back.
-func playMachine(r *Run, f *fleet, result *Scene) error {
+// playSilentServer makes one discovery server silent while the list changes, and brings it back.
+func playSilentServer(r *Run, f *fleet, result *Scene) error {
 	result.Figures["balancers at the machine"] = float64(len(slices.Concat(f.selectPaths(func(s BalancerSpec) bool {
-		return s.Discovery == f.addresses[lostMachine]
+		return s.Discovery == f.discoveryAddresses[silentServer]
 	})...)))
 	setMode := func(mode Mode) error {
-		return f.discovery.call("Discovery.Set", MachineMode{lostMachine, mode}, &Empty{})
+		return f.discovery.call("Discovery.Set", ServerMode{silentServer, mode}, &Empty{})
 	}
 	if _, err := r.measurePhase(f, result, "one machine of discovery silent", func(*Phase) ([]RevisionTime, error) {
 		if err := setMode(ModeSilent); err != nil {
 			return nil, err
 		}
-		return f.releaseAtRate(1, machineOutage)
+		return f.releaseAtRate(1, serverSilentTime)
 	}); err != nil {
 		return err
 	}
@@ -313,24 +318,25 @@
 	return err
 }
 
-// playCut makes all machines of discovery silent while the list changes, brings them back and makes another
+// playCut makes all discovery servers silent while the list changes, brings them back and makes another
 // change.
 func playCut(r *Run, f *fleet, result *Scene) error {
 	setMode := func(mode Mode) error {
-		for i := range f.addresses {
-			if err := f.discovery.call("Discovery.Set", MachineMode{i, mode}, &Empty{}); err != nil {
+		for i := range f.discoveryAddresses {
+			if err := f.discovery.call("Discovery.Set", ServerMode{i, mode}, &Empty{}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if _, err := r.measurePhase(f, result, fmt.Sprintf("discovery cut off for %v", r.options.CutDuration), func(*Phase) ([]RevisionTime, error) {
-		if err := setMode(ModeSilent); err != nil {
+	if _, err := r.measurePhase(f, result, fmt.Sprintf("discovery cut off for %v", r.options.CutDuration),
+		func(*Phase) ([]RevisionTime, error) {
+			if err := setMode(ModeSilent); err != nil {
+				return nil, err
+			}
+			_, err := f.releaseAtRate(1, r.options.CutDuration)
 			return nil, err
-		}
-		_, err := f.releaseAtRate(1, r.options.CutDuration)
-		return nil, err
-	}); err != nil {
+		}); err != nil {
 		return err
 	}
 	_, err := r.measurePhase(f, result, "discovery back", func(*Phase) ([]RevisionTime, error) {
