--- a/balancer_test.go
+++ b/balancer_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards against a wrong mean or a sample instead of a population deviation.
-func TestBandsMeanAndDeviation(t *testing.T) {
+func TestMeanAndDeviationOfReadings(t *testing.T) {
 	mean, dev := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // squared differences sum to 0.32
 		t.Errorf("got mean %v, deviation %v; want 0.5, 0.2", mean, dev)
@@ -46,7 +46,7 @@
 }
 
 // Guards against an area that depends on the number of readings instead of their duration.
-func TestAreaIsIntegratedOverTimeNotSamples(t *testing.T) {
+func TestBandAreaIsIntegratedOverTimeNotReadings(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	u.utilDev, u.utilMean, u.integratedAt = 0.1, 0.3, time.Hour
@@ -60,7 +60,7 @@
 // Guards against an upstream at constant full load that keeps its share because its readings do not vary.
 func TestSaturatedUpstreamLosesShareGraduallyAndRegainsIt(t *testing.T) {
 	b, _ := start(t, settings(), fleet(3))
-	step := func(n int) {
+	runPeriods := func(n int) {
 		for range n {
 			for _, u := range b.upstreams {
 				u.readings, u.utilMean = bandWindow, 0.3
@@ -69,12 +69,12 @@
 			b.endPeriod(b.periodStart + bandPeriod)
 		}
 	}
-	step(2)
-	first := b.upstreams[0].shareFactor
-	step(40)
-	if first >= 1 || first < minCutFactor*minCutFactor || b.upstreams[0].shareFactor != minShareFactor || b.upstreams[1].shareFactor != 1 {
+	runPeriods(2)
+	earlyFactor := b.upstreams[0].shareFactor
+	runPeriods(40)
+	if earlyFactor >= 1 || earlyFactor < minCutFactor*minCutFactor || b.upstreams[0].shareFactor != minShareFactor || b.upstreams[1].shareFactor != 1 {
 		t.Errorf("got share factor %v at first, then %v, and %v for another upstream; want a gradual decrease to the minimum, and 1",
-			first, b.upstreams[0].shareFactor, b.upstreams[1].shareFactor)
+			earlyFactor, b.upstreams[0].shareFactor, b.upstreams[1].shareFactor)
 	}
 	for range 80 {
 		b.upstreams[0].utilMean = 0.3
@@ -114,7 +114,7 @@
 }
 
 // Guards against readings from the wrong value of a report, or from latency although there are reports.
-func TestReadingSources(t *testing.T) {
+func TestUtilisationReadingSources(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		reports      ReportMode
@@ -169,12 +169,12 @@
 
 // Guards against healthy upstreams that count as silent after their first response, since the deviation of
 // their latency is not known yet.
-func TestFirstResponsesDoNotShortenSilenceTimeout(t *testing.T) {
+func TestFirstResponsesDoNotShortenResponseTimeout(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
-	if p := b.responseTimeout(b.upstreams[0], 1); p < 150*ms {
-		t.Errorf("got silence timeout %v after a response in 50ms, want at least 150ms", p)
+	if timeout := b.responseTimeout(b.upstreams[0], 1); timeout < 150*ms {
+		t.Errorf("got silence timeout %v after a response in 50ms, want at least 150ms", timeout)
 	}
 }
 
@@ -226,7 +226,7 @@
 }
 
 // Guards against requests that wait for a silent upstream although another one could serve them.
-func TestSilentUpstreamIsSkippedAndItsRequestsRetried(t *testing.T) {
+func TestUnresponsiveUpstreamIsSkippedAndItsRequestsRetried(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	for i := range 40 {
 		serve(t, b, time.Hour, RequestID(i+1))
@@ -248,23 +248,23 @@
 func TestOverloadedUpstreamRecovers(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.upstreams[0], time.Hour
-	respond := func(id RequestID, lat time.Duration) {
+	respond := func(id RequestID, latency time.Duration) {
 		now += time.Second
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 		if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
-			now += lat
-			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: lat, Status: OK, RequestDone: true})
+			now += latency
+			b.Outcome(now, Outcome{ID: id, Upstream: u.ID, Latency: latency, Status: OK, RequestDone: true})
 		}
 	}
 	for i := range 30 {
 		respond(RequestID(i+1), 80*ms)
 	}
-	healthy := u.limit
+	normalLimit := u.limit
 	for i := range 20 {
 		respond(RequestID(i+100), 290*ms)
 	}
-	if u.limit > healthy/4 {
-		t.Errorf("got limit %v after late responses, want at most a quarter of %v", u.limit, healthy)
+	if u.limit > normalLimit/4 {
+		t.Errorf("got limit %v after late responses, want at most a quarter of %v", u.limit, normalLimit)
 	}
 	u.pausedUntil = now
 	respond(500, 80*ms)
@@ -317,7 +317,7 @@
 
 // Guards against a stale list that is refreshed too late: after a silent watch or a move of discovery,
 // calls must not be spread over all balancers until a list has arrived.
-func TestStaleListIsRequestedAtOnce(t *testing.T) {
+func TestStaleListIsRefreshedAtOnce(t *testing.T) {
 	s := settings()
 	s.PollDiscovery, s.Balancers, s.Requirements.MaxDiscoveryInterval = true, 350, 10*time.Second
 	b, h := start(t, s, fleet(1))
@@ -390,7 +390,7 @@
 	for _, balancers := range []int{2, 80} {
 		s := settings()
 		s.PollDiscovery, s.Balancers = true, balancers
-		period := min(time.Duration(balancers)*discoveryCallTime, s.Requirements.MaxDiscoveryInterval/2)
+		roundTime := min(time.Duration(balancers)*discoveryCallTime, s.Requirements.MaxDiscoveryInterval/2)
 		var first, second []time.Duration
 		for s.Rank = range balancers {
 			var waits []time.Duration
@@ -410,16 +410,16 @@
 			}
 			first, second = append(first, waits[0]), append(second, waits[1])
 		}
-		if slices.Max(first) > period || slices.Min(second) < period/2 {
+		if slices.Max(first) > roundTime || slices.Min(second) < roundTime/2 {
 			t.Errorf("%d balancers: got first calls up to %v after the start, retries from %v on; want first calls within the time in which discovery can serve all balancers, retries after half of it",
 				balancers, slices.Max(first), slices.Min(second))
 		}
 		for _, waits := range [][]time.Duration{first, second} {
 			slices.Sort(waits)
 			for i, at := range waits { // allows twice the even number, for chance
-				n, _ := slices.BinarySearch(waits, at+period/4)
+				n, _ := slices.BinarySearch(waits, at+roundTime/4)
 				if limit := max(2, balancers/2); n-i > limit {
-					t.Errorf("%d balancers: got %d calls within %v, want at most half of them", balancers, n-i, period/4)
+					t.Errorf("%d balancers: got %d calls within %v, want at most half of them", balancers, n-i, roundTime/4)
 				}
 			}
 		}
@@ -478,7 +478,7 @@
 }
 
 // Guards against invalid values in events that reach running means, which would never recover from a NaN.
-func TestInvalidValuesDoNotSpoilMeans(t *testing.T) {
+func TestInvalidValuesDoNotReachMeans(t *testing.T) {
 	values := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
 	list := fleet(len(values))
 	for i := range list {
@@ -579,18 +579,18 @@
 
 // BenchmarkRequest measures a request with one successful attempt.
 func BenchmarkRequest(b *testing.B) {
-	bal, err := New(settings(), 1, 0, &discardHost{})
+	balancer, err := New(settings(), 1, 0, &discardHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	bal.Members(0, ListCached, fleet(20))
+	balancer.Members(0, ListCached, fleet(20))
 	now := time.Duration(0)
 	for i := range b.N {
 		now += ms
 		id := RequestID(i + 1)
-		bal.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
-		if r := bal.requests[id]; r != nil && r.attemptsInFlight > 0 {
-			bal.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
+		balancer.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
+		if r := balancer.requests[id]; r != nil && r.attemptsInFlight > 0 {
+			balancer.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
 		}
 	}
 }
@@ -640,14 +640,14 @@
 	s := settings()
 	s.Balancers = 8 // all of them use all upstreams
 	b, _ := start(t, s, fleet(20))
-	later := 0
+	waiting := 0
 	for _, u := range b.upstreams {
 		if u.pausedUntil > time.Hour+b.pause(u)/10 { // waits for more than a tenth of the pause
-			later++
+			waiting++
 		}
 	}
-	if later < 10 {
-		t.Errorf("got %d of 20 upstreams waiting for their first attempt, want at least 10", later)
+	if waiting < 10 {
+		t.Errorf("got %d of 20 upstreams waiting for their first attempt, want at least 10", waiting)
 	}
 	s.Balancers = 24 // each uses a subset
 	got := map[UpstreamID]int{}
@@ -713,11 +713,11 @@
 	b, _ := start(t, s, fleet(4))
 	u := b.upstreams[0]
 	for i := range 30 {
-		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
+		latency := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: lat, Status: OK}, now)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: latency, Status: OK}, now)
 		if i > 8 && u.limit < b.initialLimit {
-			t.Fatalf("response %d, latency %v: got limit %v, want at least %v", i, lat, u.limit, b.initialLimit)
+			t.Fatalf("response %d, latency %v: got limit %v, want at least %v", i, latency, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -749,10 +749,10 @@
 // Guards against limits that are reduced for single slow responses instead of overload.
 func TestOnlyOverloadReducesLimit(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		lat     time.Duration
-		calm    time.Duration
-		reduced bool
+		name           string
+		currentLatency time.Duration
+		normalLatency  time.Duration
+		reduced        bool
 	}{
 		{"normal latency near the target", 280 * ms, 200 * ms, false},
 		{"twice the normal latency, a third of the target", 100 * ms, 50 * ms, false},
@@ -760,8 +760,8 @@
 	} {
 		b, _ := start(t, settings(), fleet(1))
 		u := b.upstreams[0]
-		u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency = float64(c.lat), 1, float64(c.calm), float64(c.calm)
-		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: c.lat, Status: OK}, 2*time.Hour)
+		u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency = float64(c.currentLatency), 1, float64(c.normalLatency), float64(c.normalLatency)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: c.currentLatency, Status: OK}, 2*time.Hour)
 		if (u.limit < b.initialLimit) != c.reduced {
 			t.Errorf("%s: got limit %v, initial limit %v; want it reduced only for overload", c.name, u.limit, b.initialLimit)
 		}
@@ -801,7 +801,7 @@
 }
 
 // Guards against a subset without usable upstreams while others of the fleet are healthy.
-func TestSubsetExtendsPastSilentAndColdUpstreams(t *testing.T) {
+func TestSubsetExtendsPastUnresponsiveAndColdUpstreams(t *testing.T) {
 	s := settings()
 	s.Balancers = 40
 	b, _ := start(t, s, fleet(40))
@@ -813,9 +813,9 @@
 		t.Errorf("got a subset of %d at first, then %d with one silent and one cold upstream; want 2 more",
 			len(before), len(b.inUse))
 	}
-	gone := before[2].Upstream
-	gone.State = Draining
-	b.Members(time.Hour, ListDelta, []Upstream{gone})
+	draining := before[2].Upstream
+	draining.State = Draining
+	b.Members(time.Hour, ListDelta, []Upstream{draining})
 	if before[2].inSubset || len(b.inUse) != len(before)+2 {
 		t.Errorf("got a subset of %d after one started to drain, want it replaced", len(b.inUse))
 	}
@@ -834,13 +834,13 @@
 	b, h := start(t, s, fleet(1))
 	for i := range 60 {
 		for j, c := range []struct {
-			class string
-			lat   time.Duration
+			class   string
+			latency time.Duration
 		}{{"read", 240 * ms}, {"write", 40 * ms}} {
 			now := time.Hour + time.Duration(2*i+j+1)*time.Second
 			id := RequestID(2*i + j + 1)
 			b.Request(now, Request{ID: id, Class: c.class, Budget: time.Second})
-			b.Outcome(now+c.lat, Outcome{ID: id, Upstream: 1, Latency: c.lat, Status: OK, RequestDone: true})
+			b.Outcome(now+c.latency, Outcome{ID: id, Upstream: 1, Latency: c.latency, Status: OK, RequestDone: true})
 		}
 	}
 	now := 2 * time.Hour
@@ -854,7 +854,7 @@
 
 // Guards against limits that never grow when a balancer gets few responses, of which hardly any has the
 // lowest latency. Readings decide then.
-func TestLimitGrowsByReadingsAtLowTraffic(t *testing.T) {
+func TestLimitGrowsByUtilisationAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
 		balancers   int
 		utilisation float64
@@ -877,10 +877,10 @@
 // Guards against retries past their latency target that use up capacity in an overload.
 func TestLateRetryIsRefusedWhileCapacityIsShort(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		budget time.Duration // left of 1 s; the latency target is 300 ms
-		short  bool          // capacity is short
-		sent   bool
+		name          string
+		budget        time.Duration // left of 1 s; the latency target is 300 ms
+		capacityShort bool
+		sent          bool
 	}{
 		{"first try", time.Second, true, true},
 		{"retry with time left", 950 * ms, true, true},
@@ -890,7 +890,7 @@
 		b, h := start(t, settings(), fleet(4))
 		b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
 		now := time.Hour + time.Second
-		if c.short {
+		if c.capacityShort {
 			b.lastQueuedAt = now
 		}
 		b.Request(now, Request{ID: 2, Class: "write", Budget: c.budget})
@@ -1020,10 +1020,10 @@
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	u.limit, u.latency = 0.2, float64(100*ms)
-	respond := func(sent time.Duration) {
+	respond := func(startedAt time.Duration) {
 		u.limit = 0.2
-		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u, sentAt: sent}
-		b.recordOutcome(a, Outcome{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u, sentAt: startedAt}
+		b.recordOutcome(a, Outcome{Latency: 100 * ms, Status: Error}, startedAt+100*ms)
 	}
 	now := 2 * time.Hour // idle for an hour
 	if respond(now); u.pausedUntil > now+100*ms {
@@ -1036,17 +1036,17 @@
 
 // Guards against an upstream that counts as silent after a fast response, when a balancer gets so few
 // responses that the mean follows the last one.
-func TestOneFastResponseDoesNotShortenSilenceTimeout(t *testing.T) {
+func TestOneFastResponseDoesNotShortenResponseTimeout(t *testing.T) {
 	s := settings()
 	s.Balancers = 8
 	b, _ := start(t, s, fleet(1))
 	u := b.upstreams[0]
-	for i, lat := range []time.Duration{100, 110, 100, 90, 10, 10} {
+	for i, latency := range []time.Duration{100, 110, 100, 90, 10, 10} {
 		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
-		b.recordOutcome(a, Outcome{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
+		b.recordOutcome(a, Outcome{Latency: latency * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
-	if p := b.responseTimeout(u, 1); p < 200*ms {
-		t.Errorf("got silence timeout %v with latencies of about 100ms, want at least 200ms", p)
+	if timeout := b.responseTimeout(u, 1); timeout < 200*ms {
+		t.Errorf("got silence timeout %v with latencies of about 100ms, want at least 200ms", timeout)
 	}
 }
 
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -311,11 +311,11 @@
 func (c *ruleChecker) fireTimers(b *Balancer) {
 	due := c.timers
 	c.timers = nil
-	for _, a := range due {
-		if a.at <= c.now {
-			b.Timer(c.now, a.token)
+	for _, timer := range due {
+		if timer.at <= c.now {
+			b.Timer(c.now, timer.token)
 		} else {
-			c.timers = append(c.timers, a)
+			c.timers = append(c.timers, timer)
 		}
 	}
 }
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -148,26 +148,26 @@
 		}
 		b.Timer(now, tickToken)
 	}
-	statistics, level, ups := *b.classes["write"], *b.tenants["small"], []upstream{}
+	statistics, level, upstreamsBefore := *b.classes["write"], *b.tenants["small"], []upstream{}
 	for _, u := range b.upstreams {
-		ups = append(ups, *u)
+		upstreamsBefore = append(upstreamsBefore, *u)
 	}
-	if statistics.latency == 0 || level.level < 1 || ups[0].readings == 0 {
+	if statistics.latency == 0 || level.level < 1 || upstreamsBefore[0].readings == 0 {
 		t.Fatal("nothing was learnt")
 	}
-	lat, carry, part, turn := b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
+	latencyBefore, capacityBefore, trafficShareBefore, virtualTimeBefore := b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
 	reconfigure(t, b, now, settings(), func(s *Settings) {
 		s.Classes[2].Worth, s.Tenants[1].Quota, s.Limits.MaxAttempts, s.OverQuotaWorth = 7, 40, 2, 0.5
 	})
 	for i, u := range b.upstreams {
-		before := ups[i]
+		before := upstreamsBefore[i]
 		if u.utilMean != before.utilMean || u.utilDev != before.utilDev || u.limit != before.limit || u.latency != before.latency || u.coldLevel != before.coldLevel ||
 			u.shareFactor != before.shareFactor || u.nextTurn != before.nextTurn || u.readings != before.readings {
 			t.Errorf("upstream %d: got %+v after the change, want %+v", u.ID, u, before)
 		}
 	}
-	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.latency != lat || b.capacityPerWeight != carry ||
-		b.trafficShare != part || b.virtualTime != turn {
+	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.latency != latencyBefore || b.capacityPerWeight != capacityBefore ||
+		b.trafficShare != trafficShareBefore || b.virtualTime != virtualTimeBefore {
 		t.Error("learnt state of classes, tenants or the fleet was changed by the reconfiguration")
 	}
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
@@ -179,7 +179,7 @@
 // Guards against changed quotas, limits, balancer counts and ranks that do not take effect.
 func TestChangedSettingsTakeEffect(t *testing.T) {
 	b, h := start(t, settings(), fleet(60))
-	over := func() (n int) {
+	countOverQuota := func() (n int) {
 		b.tenants = map[string]*tenant{}
 		for range 60 {
 			if b.overQuota(&request{Request: Request{Tenant: "small"}}, time.Hour) {
@@ -188,9 +188,9 @@
 		}
 		return n
 	}
-	before := over()
+	before := countOverQuota()
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Tenants[1].Quota = 60 })
-	if after := over(); before <= after || after != 60-40 { // 60/2 + 2*sqrt(60/2) = 40.95 are within the quota
+	if after := countOverQuota(); before <= after || after != 60-40 { // 60/2 + 2*sqrt(60/2) = 40.95 are within the quota
 		t.Errorf("got %d of 60 requests over a quota of 20, and %d over a quota of 60; want more, and 20", before, after)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Limits.MaxAttempts = 1 })
@@ -199,7 +199,7 @@
 	if h.count("send id=1") != 1 || h.count("refuse id=1") != 1 {
 		t.Errorf("MaxAttempts 1: got actions %v, want one send and a refusal", h.lines)
 	}
-	members := func() (n int) {
+	subsetSize := func() (n int) {
 		for _, u := range b.upstreams {
 			if u.inSubset {
 				n++
@@ -207,11 +207,11 @@
 		}
 		return n
 	}
-	if n := members(); n != 60 {
+	if n := subsetSize(); n != 60 {
 		t.Fatalf("2 balancers: got a subset of %d of 60 upstreams, want 60", n)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Balancers, s.Rank = 80, 7 })
-	if n := members(); n > 10 {
+	if n := subsetSize(); n > 10 {
 		t.Errorf("80 balancers: got a subset of %d of 60 upstreams, want at most 10", n)
 	}
 }
@@ -236,13 +236,13 @@
 		b.Timer(time.Hour+time.Duration(ticks)*b.tickInterval, tickToken)
 	}
 	tick()
-	if gone := total - retained(); gone != removalsPerTick || len(b.classes) == 3 {
+	if forgotten := total - retained(); forgotten != removalsPerTick || len(b.classes) == 3 {
 		t.Errorf("got %d names forgotten in a tick, want %d; %d classes left, want more than 3",
-			gone, removalsPerTick, len(b.classes))
+			forgotten, removalsPerTick, len(b.classes))
 	}
 	level, kept := *b.tenants["t0"], map[string]classStatistics{}
-	for name, h := range b.classes {
-		kept[name] = *h
+	for name, stats := range b.classes {
+		kept[name] = *stats
 	}
 	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // restores all
 	restored := retained()
@@ -254,8 +254,8 @@
 			retained(), restored, len(b.pendingRemovals))
 	}
 	for name, before := range kept {
-		if h := b.classes[name]; h == nil || *h != before {
-			t.Errorf("class %s was restored before it was forgotten: got %+v, want %+v", name, h, before)
+		if stats := b.classes[name]; stats == nil || *stats != before {
+			t.Errorf("class %s was restored before it was forgotten: got %+v, want %+v", name, stats, before)
 		}
 	}
 	reconfigure(t, b, time.Hour, s, reduced)
@@ -294,14 +294,14 @@
 	for name := range first.tenants {
 		sum += len(name)
 	}
-	scanTime := time.Since(begin)
+	iterationTime := time.Since(begin)
 	begin = time.Now()
 	for range 1000 {
 		b.Reconfigure(time.Hour, second, forward)
 	}
-	if swapTime := time.Since(begin); swapTime > 100*scanTime {
+	if reconfigureTime := time.Since(begin); reconfigureTime > 100*iterationTime {
 		t.Errorf("got %v for 1,000 reconfigurations, want at most 100 times an iteration over the tenants (sum %d): %v",
-			swapTime, sum, scanTime)
+			reconfigureTime, sum, iterationTime)
 	}
 }
 
@@ -310,13 +310,13 @@
 	fastest := func(classes int) time.Duration {
 		s, best := largeSettings(classes, 0), time.Hour
 		for range 7 {
-			begin, steps := time.Now(), 0
-			if _, err := NewPlan(s, func() { steps++ }); err != nil {
+			begin, yields := time.Now(), 0
+			if _, err := NewPlan(s, func() { yields++ }); err != nil {
 				t.Fatal(err)
 			}
 			best = min(best, time.Since(begin))
-			if steps != len(s.Classes)+len(s.Tenants) {
-				t.Fatalf("got %d calls of yield for %d classes, want one for each class and tenant", steps, classes)
+			if yields != len(s.Classes)+len(s.Tenants) {
+				t.Fatalf("got %d calls of yield for %d classes, want one for each class and tenant", yields, classes)
 			}
 		}
 		return best
--- a/requests_test.go
+++ b/requests_test.go
@@ -142,16 +142,16 @@
 // Guards against a tenant that sends twice its quota for a long time being served more or less than its
 // quota.
 func TestTenantOverQuotaIsServedUpToQuota(t *testing.T) {
-	customer, within := &tenant{}, 0
+	bucket, within := &tenant{}, 0
 	for now := time.Duration(0); now < 60*time.Second; now += 10 * ms {
-		if !customer.overQuota(now, 50) && now >= 30*time.Second {
+		if !bucket.overQuota(now, 50) && now >= 30*time.Second {
 			within++
 		}
 	}
 	if within < 1495 || within > 1505 {
 		t.Errorf("got %d of 3000 requests within the quota, want about 1500", within)
 	}
-	if later := 61 * time.Second; customer.overQuota(later, 50) {
+	if later := 61 * time.Second; bucket.overQuota(later, 50) {
 		t.Error("tenant is over its quota one second after the last request, want it within")
 	}
 }
@@ -383,10 +383,10 @@
 // Guards against a small quota, as from a split over many balancers, that random arrivals exceed though
 // their mean rate does not.
 func TestSmallQuotaAllowsRandomBursts(t *testing.T) {
-	rng, customer, now, over := rand.New(rand.NewPCG(1, 2)), tenant{}, time.Duration(0), 0
+	rng, bucket, now, over := rand.New(rand.NewPCG(1, 2)), tenant{}, time.Duration(0), 0
 	for range 2000 { // random arrivals, 1.6 per second
 		now += time.Duration(rng.ExpFloat64() / 1.6 * float64(time.Second))
-		if customer.overQuota(now, 2) {
+		if bucket.overQuota(now, 2) {
 			over++
 		}
 	}
@@ -396,7 +396,7 @@
 	over = 0
 	for range 2000 { // three times the quota
 		now += time.Duration(rng.ExpFloat64() / 6 * float64(time.Second))
-		if customer.overQuota(now, 2) {
+		if bucket.overQuota(now, 2) {
 			over++
 		}
 	}
@@ -407,7 +407,7 @@
 
 // Guards against a class with Worth 0 that is taken for the least valuable one, which would make stakes
 // zero or NaN.
-func TestClassWithoutWorthDoesNotAffectStake(t *testing.T) {
+func TestClassWithoutWorthDoesNotAffectWorthRatio(t *testing.T) {
 	s := settings()
 	s.Classes[0].Worth = 0
 	b, _ := start(t, s, fleet(1))
@@ -584,7 +584,7 @@
 
 // Guards against a new balancer that takes many seconds to learn the work of a warm upstream, and leaves
 // cold ones idle until then.
-func TestNewBalancerLearnsWarmUpstreamWorkSoon(t *testing.T) {
+func TestNewBalancerLearnsWarmUpstreamCapacitySoon(t *testing.T) {
 	s := settings()
 	s.Balancers = 1
 	b, _ := start(t, s, fleet(2))
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -19,7 +19,7 @@
 	idleAt       time.Duration
 	report       Load
 	reportedAt   time.Duration
-	completed    float64
+	received     float64
 	busyTime     time.Duration
 	arrivals     []time.Duration
 }
@@ -42,11 +42,11 @@
 	u.arrivals = append(u.arrivals, u.now)
 	workTime := time.Duration(float64(time.Second) / u.warmRate)
 	u.idleAt = max(u.idleAt, u.now) + workTime
-	u.completed, u.busyTime = u.completed+1, u.busyTime+workTime
+	u.received, u.busyTime = u.received+1, u.busyTime+workTime
 	u.after(u.idleAt-u.now+modelFixedLatency, func() {
 		if elapsed := u.now - u.reportedAt; elapsed >= modelReportInterval {
-			u.report = Load{Fields: HasUtil | HasRequestRate, Util: min(1, u.busyTime.Seconds()/elapsed.Seconds()), RequestRate: u.completed / elapsed.Seconds()}
-			u.completed, u.busyTime, u.reportedAt = 0, 0, u.now
+			u.report = Load{Fields: HasUtil | HasRequestRate, Util: min(1, u.busyTime.Seconds()/elapsed.Seconds()), RequestRate: u.received / elapsed.Seconds()}
+			u.received, u.busyTime, u.reportedAt = 0, 0, u.now
 		}
 		respond(u.report)
 	})
