--- a/balancer_test.go
+++ b/balancer_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// start returns a Balancer that has received a list, and the recorder of its actions.
+// start returns a Balancer that was started at time.Hour with a cached list, and the recorder of its actions.
 func start(t *testing.T, s Settings, list []Upstream) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
@@ -37,7 +37,7 @@
 	return u
 }
 
-// Guards against a wrong mean or a sample instead of a population deviation.
+// Guards against a wrong mean, or the sample deviation in place of the population deviation.
 func TestMeanAndDeviationOfReadings(t *testing.T) {
 	mean, dev := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // squared differences sum to 0.32
@@ -45,7 +45,7 @@
 	}
 }
 
-// Guards against an area that depends on the number of readings instead of their duration.
+// Guards against a band area that depends on the number of readings instead of their duration.
 func TestBandAreaIsIntegratedOverTimeNotReadings(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
@@ -53,11 +53,12 @@
 	b.integrateBand(u, time.Hour+250*ms)
 	b.integrateBand(u, time.Hour+500*ms)
 	if want := 2 * bandHalfWidth * 0.1 * 0.5; math.Abs(u.bandArea-want) > 1e-9 {
-		t.Errorf("got area %v, want %v", u.bandArea, want)
+		t.Errorf("got band area %v, want %v", u.bandArea, want)
 	}
 }
 
-// Guards against an upstream at constant full load that keeps its share because its readings do not vary.
+// Guards against an upstream at constant full load that keeps its share because its readings do not vary,
+// and against one that loses its share at once or never regains it.
 func TestSaturatedUpstreamLosesShareGraduallyAndRegainsIt(t *testing.T) {
 	b, _ := start(t, settings(), fleet(3))
 	runPeriods := func(n int) {
@@ -72,8 +73,9 @@
 	runPeriods(2)
 	earlyFactor := b.upstreams[0].shareFactor
 	runPeriods(40)
-	if earlyFactor >= 1 || earlyFactor < minCutFactor*minCutFactor || b.upstreams[0].shareFactor != minShareFactor || b.upstreams[1].shareFactor != 1 {
-		t.Errorf("got share factor %v at first, then %v, and %v for another upstream; want a gradual decrease to the minimum, and 1",
+	if earlyFactor >= 1 || earlyFactor < minCutFactor*minCutFactor ||
+		b.upstreams[0].shareFactor != minShareFactor || b.upstreams[1].shareFactor != 1 {
+		t.Errorf("got share factor %v after 2 periods, %v after 42, %v of another upstream; want 0.64 to 1, 0.1, 1",
 			earlyFactor, b.upstreams[0].shareFactor, b.upstreams[1].shareFactor)
 	}
 	for range 80 {
@@ -113,7 +115,8 @@
 	}
 }
 
-// Guards against readings from the wrong value of a report, or from latency although there are reports.
+// Guards against utilisation readings from the wrong value of a report, or from latency although there are
+// reports.
 func TestUtilisationReadingSources(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -130,7 +133,8 @@
 		s := settings()
 		s.Reports = c.reports
 		b, _ := start(t, s, fleet(1))
-		if b.recordLoad(b.upstreams[0], c.load, true, c.latencyRatio, time.Hour); math.Abs(b.upstreams[0].utilMean-c.want) > 1e-9 {
+		if b.recordLoad(
+			b.upstreams[0], c.load, true, c.latencyRatio, time.Hour); math.Abs(b.upstreams[0].utilMean-c.want) > 1e-9 {
 			t.Errorf("%s: got reading %v, want %v", c.name, b.upstreams[0].utilMean, c.want)
 		}
 	}
@@ -167,14 +171,14 @@
 	}
 }
 
-// Guards against healthy upstreams that count as silent after their first response, since the deviation of
-// their latency is not known yet.
+// Guards against healthy upstreams that count as unresponsive after their first response, since the deviation
+// of their latency is not known yet.
 func TestFirstResponsesDoNotShortenResponseTimeout(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
 	if timeout := b.responseTimeout(b.upstreams[0], 1); timeout < 150*ms {
-		t.Errorf("got silence timeout %v after a response in 50ms, want at least 150ms", timeout)
+		t.Errorf("got response timeout %v after a response in 50ms, want at least 150ms", timeout)
 	}
 }
 
@@ -207,7 +211,8 @@
 		id := RequestID(10000 + i)
 		b.Request(now, Request{ID: id, Class: "write", Budget: time.Second, Cost: ms})
 		if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
-			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestDone: true})
+			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK,
+				RequestDone: true})
 		}
 	}
 	toCold := 0
@@ -217,7 +222,7 @@
 		}
 	}
 	// A warm upstream receives up to 75 requests in the window. A cold one may get that times ColdCapacity
-	// (0.3), OverloadFactor (3) and a safety margin (0.6).
+	// (0.3), OverloadFactor (3) and coldBudgetShare (0.6).
 	limit := 40
 	if toCold == 0 || toCold > limit || h.count("send")-before < 250 {
 		t.Errorf("got %d of %d requests sent to the cold upstream, want between 1 and %d, and at least 250 in all",
@@ -225,7 +230,7 @@
 	}
 }
 
-// Guards against requests that wait for a silent upstream although another one could serve them.
+// Guards against requests that wait for an unresponsive upstream although another one could serve them.
 func TestUnresponsiveUpstreamIsSkippedAndItsRequestsRetried(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	for i := range 40 {
@@ -236,15 +241,16 @@
 	now := time.Hour + b.responseTimeout(u, 1) + 20*ms
 	b.Timer(now, tickToken)
 	if !u.unresponsive || h.count("cancel id=100") != 1 {
-		t.Fatalf("got silent %v, last actions %v; want true and a cancelled attempt", u.unresponsive, h.lines[len(h.lines)-4:])
+		t.Fatalf("got unresponsive %v, last actions %v; want true and a cancelled attempt",
+			u.unresponsive, h.lines[len(h.lines)-4:])
 	}
 	b.Outcome(now, Outcome{ID: 100, Upstream: u.ID, Latency: 400 * ms, Status: Cancelled})
 	if r := b.requests[100]; r == nil || r.attemptsInFlight != 1 || r.attempts[1].up == u {
-		t.Error("request was not sent to another upstream")
+		t.Error("got no second attempt of request 100 at another upstream, want one")
 	}
 }
 
-// Guards against a concurrency limit that stays high under late responses, or low after an overload.
+// Guards against a concurrency limit that stays high under slow responses, or low after an overload.
 func TestOverloadedUpstreamRecovers(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.upstreams[0], time.Hour
@@ -264,12 +270,12 @@
 		respond(RequestID(i+100), 290*ms)
 	}
 	if u.limit > normalLimit/4 {
-		t.Errorf("got limit %v after late responses, want at most a quarter of %v", u.limit, normalLimit)
+		t.Errorf("got limit %v after slow responses, want at most a quarter of %v", u.limit, normalLimit)
 	}
 	u.pausedUntil = now
 	respond(500, 80*ms)
 	if u.limit < b.initialLimit {
-		t.Error("limit was not restored by a fast response")
+		t.Error("got a limit below the initial one after a fast response, want it restored")
 	}
 }
 
@@ -311,12 +317,12 @@
 	}
 	b.Timer(time.Hour, discoveryToken)
 	if h.count("watch") != 2 || len(b.upstreams) != 1 {
-		t.Error("discovery was not called again, or the list was lost")
+		t.Error("got no second call of discovery, or no upstream left; want both")
 	}
 }
 
-// Guards against a stale list that is refreshed too late: after a silent watch or a move of discovery,
-// calls must not be spread over all balancers until a list has arrived.
+// Guards against a stale list that is refreshed too late: after a watch went silent or discovery moved,
+// retries must not be spread over all balancers until a list has arrived.
 func TestStaleListIsRefreshedAtOnce(t *testing.T) {
 	s := settings()
 	s.PollDiscovery, s.Balancers, s.Requirements.MaxDiscoveryInterval = true, 350, 10*time.Second
@@ -411,15 +417,16 @@
 			first, second = append(first, waits[0]), append(second, waits[1])
 		}
 		if slices.Max(first) > roundTime || slices.Min(second) < roundTime/2 {
-			t.Errorf("%d balancers: got first calls up to %v after the start, retries from %v on; want first calls within the time in which discovery can serve all balancers, retries after half of it",
+			t.Errorf("%d balancers: got first calls until %v, retries from %v on; want until 1, from 0.5 round times",
 				balancers, slices.Max(first), slices.Min(second))
 		}
 		for _, waits := range [][]time.Duration{first, second} {
 			slices.Sort(waits)
-			for i, at := range waits { // allows twice the even number, for chance
+			for i, at := range waits { // a random spread may have twice the even number
 				n, _ := slices.BinarySearch(waits, at+roundTime/4)
 				if limit := max(2, balancers/2); n-i > limit {
-					t.Errorf("%d balancers: got %d calls within %v, want at most half of them", balancers, n-i, roundTime/4)
+					t.Errorf("%d balancers: got %d calls within %v, want at most half of them",
+						balancers, n-i, roundTime/4)
 				}
 			}
 		}
@@ -429,14 +436,16 @@
 // Guards against invalid settings that are accepted, or rejected without the name of the setting.
 func TestInvalidSettings(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
-		"Classes":                               func(s *Settings) { s.Classes = nil },
-		"Balancers":                             func(s *Settings) { s.Balancers = 0 },
-		"Limits.MaxAttempts":                    func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"Requirements.OverloadWindow":           func(s *Settings) { s.Requirements.OverloadWindow = 0 },
-		"Requirements.WarmupTime":               func(s *Settings) { s.Requirements.WarmupTime = 0 },
-		"Requirements.OverloadFactor":           func(s *Settings) { s.Requirements.OverloadFactor = 0 },
-		"Requirements.ColdCapacity":             func(s *Settings) { s.Requirements.ColdCapacity = 0 },
-		"Requirements.MaxDiscoveryInterval":     func(s *Settings) { s.PollDiscovery, s.Requirements.MaxDiscoveryInterval = true, 0 },
+		"Classes":                     func(s *Settings) { s.Classes = nil },
+		"Balancers":                   func(s *Settings) { s.Balancers = 0 },
+		"Limits.MaxAttempts":          func(s *Settings) { s.Limits.MaxAttempts = 0 },
+		"Requirements.OverloadWindow": func(s *Settings) { s.Requirements.OverloadWindow = 0 },
+		"Requirements.WarmupTime":     func(s *Settings) { s.Requirements.WarmupTime = 0 },
+		"Requirements.OverloadFactor": func(s *Settings) { s.Requirements.OverloadFactor = 0 },
+		"Requirements.ColdCapacity":   func(s *Settings) { s.Requirements.ColdCapacity = 0 },
+		"Requirements.MaxDiscoveryInterval": func(s *Settings) {
+			s.PollDiscovery, s.Requirements.MaxDiscoveryInterval = true, 0
+		},
 		"LatencyTarget":                         func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
 		"Deadline":                              func(s *Settings) { s.Classes[0].Deadline = ms },
 		"DedupWindow":                           func(s *Settings) { s.Classes[1].DedupWindow = 0 },
@@ -472,12 +481,14 @@
 			t.Errorf("ColdCapacity %v: got no error, want ErrInvalidSettings", f)
 		}
 	}
-	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrInvalidSettings) || !strings.Contains(err.Error(), "Host") {
+	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrInvalidSettings) ||
+		!strings.Contains(err.Error(), "Host") {
 		t.Errorf("nil host: got error %v, want ErrInvalidSettings with \"Host\"", err)
 	}
 }
 
-// Guards against invalid values in events that reach running means, which would never recover from a NaN.
+// Guards against invalid values in events that reach running means, which would stay NaN from then on, and
+// against unknown timer tokens that start another series of ticks.
 func TestInvalidValuesDoNotReachMeans(t *testing.T) {
 	values := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
 	list := fleet(len(values))
@@ -491,8 +502,10 @@
 		id := RequestID(i + 1)
 		b.Request(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(values[i%3+2])})
 		if r := b.requests[id]; r != nil && r.attemptsInFlight > 0 {
-			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: values[i%6], Inflight: values[(i+1)%6], Queue: values[(i+2)%6]}
-			o := Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, RequestDone: true, Load: l}
+			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: values[i%6], Inflight: values[(i+1)%6],
+				Queue: values[(i+2)%6]}
+			o := Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK,
+				RequestDone: true, Load: l}
 			b.Outcome(now, o)
 			b.Outcome(now, o)
 		}
@@ -502,8 +515,9 @@
 		b.Timer(now, 12345)
 	}
 	for _, u := range b.upstreams {
-		for name, x := range map[string]float64{"mean": u.utilMean, "deviation": u.utilDev, "weight": u.weight, "latency": u.latency,
-			"limit": u.limit, "next turn": u.nextTurn, "area": u.bandArea, "factor": u.shareFactor} {
+		for name, x := range map[string]float64{"mean utilisation": u.utilMean, "deviation of utilisation": u.utilDev,
+			"weight": u.weight, "latency": u.latency, "limit": u.limit, "next turn": u.nextTurn,
+			"band area": u.bandArea, "share factor": u.shareFactor} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Errorf("upstream %d: got %s %v, want a finite value that is not negative", u.ID, name, x)
 			}
@@ -516,7 +530,7 @@
 }
 
 // Guards against requests that get no answer or a Fail when there is no list, an empty list, no budget left
-// or an unknown class, and against events with unknown ids.
+// or an unknown class, and against events with unknown ids that are not ignored.
 func TestRequestsWithoutUpstreamsAreRefused(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	b.Request(time.Hour, Request{ID: 1, Class: "write", Budget: 0})
@@ -540,7 +554,7 @@
 	}
 }
 
-// Guards against a decision module that outgrows its limits: operators print the policy files that
+// Guards against policy files that exceed their size limits: operators print the files that
 // deploy/balancer.toml lists, so their number of lines and the width of lines are limited.
 func TestModuleSize(t *testing.T) {
 	toml, err := os.ReadFile("deploy/balancer.toml")
@@ -590,7 +604,8 @@
 		id := RequestID(i + 1)
 		balancer.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 		if r := balancer.requests[id]; r != nil && r.attemptsInFlight > 0 {
-			balancer.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
+			balancer.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK,
+				RequestDone: true})
 		}
 	}
 }
@@ -630,7 +645,8 @@
 	a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
 	b.recordOutcome(a, Outcome{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
 	if u.limit >= b.initialLimit {
-		t.Errorf("got limit %v after a latency of more than three times the fleet's lowest, want a lower one", u.limit)
+		t.Errorf("got limit %v after a latency of more than three times the fleet's baseline, want a lower one",
+			u.limit)
 	}
 }
 
@@ -682,9 +698,10 @@
 		u := b.upstreams[0]
 		u.utilMean, u.readings, u.minLatency, b.lastQueuedAt = c.utilisation, bandWindow, float64(50*ms), time.Hour
 		before := u.limit
-		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 50 * ms, Status: OK}, time.Hour)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u},
+			Outcome{Latency: 50 * ms, Status: OK}, time.Hour)
 		if (u.limit > before) != c.grows {
-			t.Errorf("utilisation %v: got limit %v before a response, %v after it; want growth only below full utilisation",
+			t.Errorf("utilisation %v: got limit %v before a response, %v after it; want growth only at 0.5",
 				c.utilisation, before, u.limit)
 		}
 	}
@@ -695,12 +712,14 @@
 func TestIdleUpstreamOfHighWeightIsNotTakenForOverloaded(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for _, u := range b.upstreams {
-		u.utilMean, u.readings, u.minLatency, u.workUnits, u.latency = 0.2, bandWindow, float64(50*ms), 1, float64(50*ms)
+		u.utilMean, u.readings, u.minLatency, u.workUnits, u.latency =
+			0.2, bandWindow, float64(50*ms), 1, float64(50*ms)
 	}
 	b.endPeriod(time.Hour)
 	u := b.upstreams[0]
 	u.weight, u.limit, b.lastQueuedAt = 3, 2, time.Hour
-	b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 55 * ms, Status: OK}, time.Hour)
+	b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u},
+		Outcome{Latency: 55 * ms, Status: OK}, time.Hour)
 	if u.limit <= 2 {
 		t.Errorf("got limit %v, want more than 2", u.limit)
 	}
@@ -715,7 +734,8 @@
 	for i := range 30 {
 		latency := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: latency, Status: OK}, now)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u},
+			Outcome{Latency: latency, Status: OK}, now)
 		if i > 8 && u.limit < b.initialLimit {
 			t.Fatalf("response %d, latency %v: got limit %v, want at least %v", i, latency, u.limit, b.initialLimit)
 		}
@@ -732,7 +752,8 @@
 	respond := func(now time.Duration) {
 		for range 50 {
 			b.lastQueuedAt = now
-			b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
+			b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u},
+				Outcome{Latency: 10 * ms, Status: OK}, now)
 		}
 	}
 	respond(time.Hour)
@@ -746,7 +767,8 @@
 	}
 }
 
-// Guards against limits that are reduced for single slow responses instead of overload.
+// Guards against limits that are reduced for latency that is normal for its upstream or far below the
+// target, and against limits that are kept in an overload.
 func TestOnlyOverloadReducesLimit(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -760,10 +782,13 @@
 	} {
 		b, _ := start(t, settings(), fleet(1))
 		u := b.upstreams[0]
-		u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency = float64(c.currentLatency), 1, float64(c.normalLatency), float64(c.normalLatency)
-		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: c.currentLatency, Status: OK}, 2*time.Hour)
+		u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency =
+			float64(c.currentLatency), 1, float64(c.normalLatency), float64(c.normalLatency)
+		b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u},
+			Outcome{Latency: c.currentLatency, Status: OK}, 2*time.Hour)
 		if (u.limit < b.initialLimit) != c.reduced {
-			t.Errorf("%s: got limit %v, initial limit %v; want it reduced only for overload", c.name, u.limit, b.initialLimit)
+			t.Errorf("%s: got limit %v, initial limit %v; want it reduced only for overload",
+				c.name, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -775,8 +800,8 @@
 		{8, 20, 20, 20},   // few balancers: all upstreams
 		{90, 20, 2, 2},    // the minimum
 		{400, 60, 2, 2},   // many balancers for each upstream: the minimum
-		{100, 60, 3, 3},   // about 4 balancers for each upstream
-		{12, 20, 10, 10},  // between these: the size falls gradually
+		{100, 60, 3, 3},   // 5 balancers for each upstream
+		{12, 20, 10, 10},  // more balancers: the size falls gradually
 		{1200, 250, 2, 2}, // a very large fleet
 	} {
 		s := settings()
@@ -785,7 +810,7 @@
 		for s.Rank = range c.balancers {
 			b, _ := start(t, s, fleet(c.upstreams))
 			if n := len(b.inUse); n < c.minSize || n > c.maxSize {
-				t.Fatalf("%+v: got a subset of %d upstreams", c, n)
+				t.Fatalf("%+v: got a subset of %d upstreams, want minSize to maxSize", c, n)
 			}
 			for _, u := range b.inUse {
 				used[u.ID]++
@@ -810,14 +835,14 @@
 	before[1].cold, before[1].coldSince = true, time.Hour
 	b.selectSubset(time.Hour)
 	if len(b.inUse) != len(before)+2 {
-		t.Errorf("got a subset of %d at first, then %d with one silent and one cold upstream; want 2 more",
+		t.Errorf("got a subset of %d at first, then %d with one unresponsive and one cold upstream; want 2 more",
 			len(before), len(b.inUse))
 	}
 	draining := before[2].Upstream
 	draining.State = Draining
 	b.Members(time.Hour, ListDelta, []Upstream{draining})
 	if before[2].inSubset || len(b.inUse) != len(before)+2 {
-		t.Errorf("got a subset of %d after one started to drain, want it replaced", len(b.inUse))
+		t.Errorf("got a subset of %d after one began to drain, want it replaced", len(b.inUse))
 	}
 	before[0].unresponsive, before[1].cold = false, false
 	b.selectSubset(time.Hour)
@@ -847,13 +872,13 @@
 	b.upstreams[0].pausedUntil = now + time.Minute
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || !r.queued || r.workUnits > 0.5 {
-		t.Errorf("got action %v, want the request queued: its target is five times the latency of its class",
+		t.Errorf("got last action %v, want request 1000 queued with at most 0.5 units of work",
 			h.lines[len(h.lines)-1])
 	}
 }
 
 // Guards against limits that never grow when a balancer gets few responses, of which hardly any has the
-// lowest latency. Readings decide then.
+// minimum latency. Utilisation readings decide then.
 func TestLimitGrowsByUtilisationAtLowTraffic(t *testing.T) {
 	for _, c := range []struct {
 		balancers   int
@@ -864,12 +889,14 @@
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
 		u := b.upstreams[0]
-		u.readings, u.utilMean, u.minLatency, u.smoothedLatency, u.baselineLatency = bandWindow, c.utilisation, float64(30*ms), float64(60*ms), float64(60*ms)
+		u.readings, u.utilMean, u.minLatency, u.smoothedLatency, u.baselineLatency =
+			bandWindow, c.utilisation, float64(30*ms), float64(60*ms), float64(60*ms)
 		b.lastQueuedAt = time.Hour
 		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
-		b.recordOutcome(a, Outcome{Latency: 60 * ms, Status: OK}, time.Hour) // twice the lowest latency
+		b.recordOutcome(a, Outcome{Latency: 60 * ms, Status: OK}, time.Hour) // twice the minimum latency
 		if (u.limit > b.initialLimit) != c.grows {
-			t.Errorf("%+v: got limit %v, initial limit %v", c, u.limit, b.initialLimit)
+			t.Errorf("%+v: got limit %v, initial limit %v; want growth only if grows is true",
+				c, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -895,7 +922,8 @@
 		}
 		b.Request(now, Request{ID: 2, Class: "write", Budget: c.budget})
 		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
-			t.Errorf("%s: got last action %v", c.name, h.lines[len(h.lines)-1])
+			t.Errorf("%s: got last action %v, want request 2 refused only past the target at short capacity",
+				c.name, h.lines[len(h.lines)-1])
 		}
 	}
 }
@@ -957,7 +985,8 @@
 		}
 	}
 	if sent := h.count("send") - before; !u.cold || sent < 10 {
-		t.Errorf("got %d of 200 requests sent to the restarted upstream (cold: %v), want at least 10 and cold", sent, u.cold)
+		t.Errorf("got %d of 200 requests sent to the restarted upstream, cold %v; want at least 10, true",
+			sent, u.cold)
 	}
 }
 
@@ -1005,11 +1034,13 @@
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
 		u := b.upstreams[0]
-		u.readings, u.utilMean, u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency = 1, c.utilisation, float64(250*ms), 1, float64(60*ms), float64(60*ms)
+		u.readings, u.utilMean, u.latency, u.workUnits, u.smoothedLatency, u.baselineLatency =
+			1, c.utilisation, float64(250*ms), 1, float64(60*ms), float64(60*ms)
 		a := &attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}
 		b.recordOutcome(a, Outcome{Latency: 250 * ms, Status: OK}, 2*time.Hour)
 		if (u.limit < b.initialLimit) != c.reduced {
-			t.Errorf("%+v: got limit %v, initial limit %v", c, u.limit, b.initialLimit)
+			t.Errorf("%+v: got limit %v, initial limit %v; want a lower limit only if reduced is true",
+				c, u.limit, b.initialLimit)
 		}
 	}
 }
@@ -1027,14 +1058,15 @@
 	}
 	now := 2 * time.Hour // idle for an hour
 	if respond(now); u.pausedUntil > now+100*ms {
-		t.Errorf("after one attempt: got a pause until %v, want at most 100ms", u.pausedUntil-now)
+		t.Errorf("after one attempt: got the next one after %v, want it after at most 100ms", u.pausedUntil-now)
 	}
 	if respond(now + 100*ms); u.pausedUntil < now+500*ms {
-		t.Errorf("after two attempts in a row: got a pause until %v, want at least 500ms", u.pausedUntil-now)
+		t.Errorf("after two attempts in a row: got the next one %v after the first, want at least 500ms",
+			u.pausedUntil-now)
 	}
 }
 
-// Guards against an upstream that counts as silent after a fast response, when a balancer gets so few
+// Guards against an upstream that counts as unresponsive after a fast response, when a balancer gets so few
 // responses that the mean follows the last one.
 func TestOneFastResponseDoesNotShortenResponseTimeout(t *testing.T) {
 	s := settings()
@@ -1046,7 +1078,7 @@
 		b.recordOutcome(a, Outcome{Latency: latency * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
 	if timeout := b.responseTimeout(u, 1); timeout < 200*ms {
-		t.Errorf("got silence timeout %v with latencies of about 100ms, want at least 200ms", timeout)
+		t.Errorf("got response timeout %v with latencies of about 100ms, want at least 200ms", timeout)
 	}
 }
 
@@ -1062,7 +1094,8 @@
 		for now := time.Hour; now < time.Hour+20*bandPeriod; now += bandPeriod {
 			b.lastQueuedAt = now
 			for range 50 {
-				b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u}, Outcome{Latency: 10 * ms, Status: OK}, now)
+				b.recordOutcome(&attempt{req: &request{class: b.class("write", nil), workUnits: 1}, up: u},
+					Outcome{Latency: 10 * ms, Status: OK}, now)
 			}
 			b.endPeriod(now)
 		}
--- a/discovery_test.go
+++ b/discovery_test.go
@@ -61,10 +61,10 @@
 type discoveryFailure uint8
 
 const (
-	noFailure   discoveryFailure = iota
-	callRefused                  // at once
-	callHangs                    // no answer until the caller's timeout
-	callFails                    // with an error after simQueueTimeout
+	noFailure   discoveryFailure = iota // calls succeed
+	callRefused                         // at once
+	callHangs                           // no answer until the caller's timeout
+	callFails                           // with an error after simQueueTimeout
 )
 
 const (
@@ -146,7 +146,8 @@
 	t.Helper()
 	// Discovery can serve each balancer once within 2 s; if it were slower, no spacing of the calls would
 	// be in time.
-	discovery := &queuedDiscovery{simClock: &simClock{now: time.Hour}, callDuration: min(60*ms, 2*time.Second/time.Duration(n))}
+	discovery := &queuedDiscovery{simClock: &simClock{now: time.Hour},
+		callDuration: min(60*ms, 2*time.Second/time.Duration(n))}
 	var clients []*discoveryClient
 	for rank := range n {
 		client := &discoveryClient{discovery: discovery}
@@ -170,14 +171,16 @@
 // Guards against retries after an outage of discovery that come too late, or at the same time from so many
 // balancers that discovery fails them again.
 func TestListIsReceivedInTimeAfterDiscoveryOutage(t *testing.T) {
-	for name, failure := range map[string]discoveryFailure{"refused": callRefused, "timed out": callHangs, "failed": callFails} {
+	for name, failure := range map[string]discoveryFailure{"refused": callRefused, "timed out": callHangs,
+		"failed": callFails} {
 		for _, n := range []int{1, 3, 30, 300, 950} {
 			t.Run(fmt.Sprintf("%s/%d balancers", name, n), func(t *testing.T) {
 				intervals := []time.Duration{10 * time.Second, 4 * time.Second, 30 * time.Second}
 				if n >= 300 { // large fleets take long to simulate
 					intervals = intervals[:1]
 				}
-				for _, outageDuration := range []time.Duration{500 * ms, 2 * time.Second, 8 * time.Second, 21 * time.Second, time.Minute} {
+				for _, outageDuration := range []time.Duration{500 * ms, 2 * time.Second, 8 * time.Second,
+					21 * time.Second, time.Minute} {
 					for _, interval := range intervals {
 						lateClients, longest := 0, time.Duration(0)
 						for seed := range uint64(max(1, 60/n)) {
@@ -185,7 +188,7 @@
 							lateClients, longest = lateClients+lateInRun, max(longest, longestInRun)
 						}
 						if lateClients > 0 {
-							t.Errorf("discovery interval %v, outage of %v: got %d lists later than %v, the last after %v; want none",
+							t.Errorf("interval %v, outage %v: got %d lists later than %v, the last after %v; want none",
 								interval, outageDuration, lateClients, wantUpdateWithin, longest)
 						}
 					}
@@ -197,7 +200,8 @@
 
 // delayAfterOutage simulates an outage and returns how many balancers received a list too late after it,
 // and the longest delay of all.
-func delayAfterOutage(t *testing.T, n int, interval time.Duration, failure discoveryFailure, outageDuration time.Duration, seed uint64) (late int, longest time.Duration) {
+func delayAfterOutage(t *testing.T, n int, interval time.Duration, failure discoveryFailure,
+	outageDuration time.Duration, seed uint64) (late int, longest time.Duration) {
 	t.Helper()
 	s := settings()
 	s.Requirements.MaxDiscoveryInterval = interval
@@ -222,9 +226,10 @@
 	return late, longest
 }
 
-// Guards against first calls of discovery that come too late when a third of the fleet restarts at once.
-// The restart is 5 s after a loss that discovery notices after 0.7 s or later, so it must be known 1.7 s
-// after the restart; 2 s of drain grace are added.
+// Guards against first calls of discovery that come too late when a third of the balancers restart at once.
+// The restart is 5 s after a loss of upstreams, which discovery notices 0.7 s after it at the earliest.
+// Balancers must know of the loss wantUpdateWithin after that, which is 1.7 s after the restart. maxDelay
+// adds 2 s of drain grace.
 func TestRestartedBalancersReceiveListInTime(t *testing.T) {
 	const maxDelay = 3700 * ms
 	for _, n := range []int{30, 100, 300} {
--- a/drain_test.go
+++ b/drain_test.go
@@ -16,7 +16,7 @@
 	settings  Settings
 	seed      uint64
 	nodes     []*releaseNode
-	late      []string // requests sent to draining upstreams too late
+	late      []string // descriptions of the requests sent to draining upstreams too late
 }
 
 const (
@@ -33,9 +33,9 @@
 	releaseDuration          = 14 * time.Second                 // from the end of the outage
 	releaseFirstDrainDelay   = 500 * ms                         // from the end of the outage
 	releaseDrainInterval     = 1850 * ms                        // between batches
-	releaseQueueFailureDelay = simQueueTimeout + simCallLatency // until a caller learns that its call timed out in the queue
-	releaseFleetWarmup       = 20 * time.Second                 // until every balancer has a list and has learnt its upstreams
-	releaseCallDuration      = 60 * time.Millisecond            // time that discovery needs for a call
+	releaseQueueFailureDelay = simQueueTimeout + simCallLatency // until a caller learns that its call timed out
+	releaseFleetWarmup       = 20 * time.Second                 // until all balancers have lists and statistics
+	releaseCallDuration      = 60 * time.Millisecond            // of discovery; a sixtieth of it before the outage
 	releaseKilledOfTen       = 7                                // balancers killed, out of ten
 )
 
@@ -45,8 +45,8 @@
 	*simClock
 	down         bool
 	callDuration time.Duration
-	idleAt       time.Duration
-	revision     int
+	idleAt       time.Duration // end of the last call in the queue
+	revision     int           // of the latest change
 	states       map[UpstreamID]State
 	changedIn    map[UpstreamID]int           // revision of the latest change
 	drainAt      map[UpstreamID]time.Duration // when the drain began
@@ -112,10 +112,12 @@
 	call       int                  // number of the latest call of discovery
 	revision   int                  // of the current list
 	states     map[UpstreamID]State // current states by upstream
-	attempts   map[RequestID]int
-	receivedAt time.Duration // time of the first list of this process; 0: none yet
+	attempts   map[RequestID]int    // Sends so far
+	receivedAt time.Duration        // time of the first list of this process; 0: none yet
 }
 
+// callFailed reports a failed call or a lost watch to the balancer, unless a later call has
+// replaced it or the process was killed.
 func (n *releaseNode) callFailed(call int) {
 	if n.call == call && !n.killed {
 		n.b.Members(n.now, ListFailed, nil)
@@ -165,7 +167,8 @@
 		if n.now-drainAt > releaseDrainTime {
 			status = ConnectFailed
 		} else if late := n.now - drainAt - wantUpdateWithin; late > releaseDrainGrace {
-			n.late = append(n.late, fmt.Sprintf("balancer %d sent to upstream %d %v too late", n.b.config.Rank, up, late))
+			n.late = append(n.late,
+				fmt.Sprintf("balancer %d sent to upstream %d %v too late", n.b.config.Rank, up, late))
 		}
 	}
 	n.after(latency, func() {
@@ -210,7 +213,7 @@
 // restart until a restarted balancer had a list.
 func (r *releaseSimulation) run(balancers int, callDuration time.Duration) (late []string, longest time.Duration) {
 	discoveryService := r.discovery
-	discoveryService.callDuration = releaseCallDuration / 60 // fast enough for all balancers to have lists before the release
+	discoveryService.callDuration = releaseCallDuration / 60 // so that all balancers have lists before the outage
 	r.settings.Balancers, r.settings.PollDiscovery = balancers, true
 	r.nodes = make([]*releaseNode, balancers)
 	for rank := range balancers {
@@ -227,8 +230,10 @@
 		for i := range releaseBatchSize {
 			ids = append(ids, UpstreamID(batch*releaseBatchSize+i+1))
 		}
-		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval, func() { discoveryService.setState(Draining, ids...) })
-		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval+releaseDrainTime, func() { discoveryService.setState(Removed, ids...) })
+		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval,
+			func() { discoveryService.setState(Draining, ids...) })
+		r.after(releaseFirstDrainDelay+time.Duration(batch)*releaseDrainInterval+releaseDrainTime,
+			func() { discoveryService.setState(Removed, ids...) })
 	}
 	r.runUntil(recoveredAt + releaseKillDelay)
 	var killed []*releaseNode
@@ -260,8 +265,8 @@
 	s := settings()
 	s.Tenants, s.Requirements.DrainGrace = nil, releaseDrainGrace
 	return &releaseSimulation{simClock: clock, rng: rand.New(rand.NewPCG(seed, 11)), settings: s, seed: seed << 16,
-		discovery: &revisionedDiscovery{simClock: clock, states: map[UpstreamID]State{}, changedIn: map[UpstreamID]int{},
-			drainAt: map[UpstreamID]time.Duration{}}}
+		discovery: &revisionedDiscovery{simClock: clock, states: map[UpstreamID]State{},
+			changedIn: map[UpstreamID]int{}, drainAt: map[UpstreamID]time.Duration{}}}
 }
 
 // Guards against requests to upstreams that began to drain more than 6.5 s before. Restarted balancers may
@@ -276,7 +281,7 @@
 			for seed := range uint64(4) {
 				late, longest := newReleaseSimulation(seed).run(c.balancers, c.callDuration)
 				if longest > wantUpdateWithin {
-					t.Errorf("seed %d: got a restarted balancer without a list for %v, want a list sooner", seed, longest)
+					t.Errorf("seed %d: got a restarted balancer without a list for %v, want at most 6s", seed, longest)
 				}
 				if len(late) > 0 {
 					t.Errorf("seed %d: got %d requests sent too late, want none; first: %s", seed, len(late), late[0])
@@ -310,7 +315,8 @@
 			if int(up) <= rejecting {
 				status = Rejected
 			}
-			outcomes = append(outcomes, Outcome{ID: id, Upstream: up, Attempt: attempts[id], Latency: ms, Status: status, RequestDone: status == OK})
+			outcomes = append(outcomes, Outcome{ID: id, Upstream: up, Attempt: attempts[id], Latency: ms,
+				Status: status, RequestDone: status == OK})
 			attempts[id]++
 		}
 		for id := range RequestID(400) {
@@ -325,12 +331,12 @@
 		return sent
 	}
 	if sent := countSends(t, true, 1); sent[1] > rejectionLimit {
-		t.Errorf("unconfirmed list: got %d requests sent to the rejecting upstream, want few", sent[1])
+		t.Errorf("unconfirmed list: got %d requests sent to the rejecting upstream, want at most 2", sent[1])
 	}
 	if sent := countSends(t, false, 1); sent[1] <= rejectionLimit {
-		t.Errorf("confirmed list: got %d requests sent to the rejecting upstream, want more", sent[1])
+		t.Errorf("confirmed list: got %d requests sent to the rejecting upstream, want more than 2", sent[1])
 	}
 	if sent := countSends(t, true, 4); sent[1] <= rejectionLimit {
-		t.Errorf("unconfirmed list, all upstreams reject: got %d requests sent to the first, want more", sent[1])
+		t.Errorf("unconfirmed list, all upstreams reject: got %d requests sent to the first, want more than 2", sent[1])
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -14,7 +14,7 @@
 	fmt.Printf("request %d goes to upstream %d\n", id, up)
 }
 
-func (proxy) SetTimer(after time.Duration, token uint64) {} // calls b.Timer(now, token) after the delay
+func (proxy) SetTimer(after time.Duration, token uint64) {} // a real Host calls b.Timer(now, token) after the delay
 
 func Example() {
 	settings := garnettide.Settings{
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -18,8 +18,8 @@
 	requests      map[RequestID]*observedRequest
 	inFlight      []*observedAttempt // in order of sending
 	timers        []pendingTimer
-	list          map[UpstreamID]Upstream
-	leavingSince  map[UpstreamID]time.Duration
+	list          map[UpstreamID]Upstream      // latest entry of each upstream ever listed
+	leavingSince  map[UpstreamID]time.Duration // when a listed upstream began to drain or was removed
 	inMaintenance map[UpstreamID]bool
 	violations    []string
 	maxSends      int                            // most sends to one warm upstream within OverloadWindow
@@ -112,7 +112,9 @@
 			c.violation("duplicates: non-idempotent request %d sent again", request.id)
 		case request.class.Idempotency == IdempotentByKey && c.now > x.at+request.class.DedupWindow:
 			c.violation("duplicates: request %d with idempotency key sent again after DedupWindow", request.id)
-		case request.class.Idempotency == IdempotentByKey && ((request.class.DedupScope == DedupZone && x.up.Zone != u.Zone) || (request.class.DedupScope == DedupCell && x.up.Cell != u.Cell)):
+		case request.class.Idempotency == IdempotentByKey &&
+			((request.class.DedupScope == DedupZone && x.up.Zone != u.Zone) ||
+				(request.class.DedupScope == DedupCell && x.up.Cell != u.Cell)):
 			c.violation("duplicates: request %d with idempotency key sent outside its DedupScope", request.id)
 		}
 	}
@@ -122,7 +124,8 @@
 	if len(request.attempts) >= c.s.Limits.MaxAttempts {
 		c.violation("attempts: request %d has more than MaxAttempts", request.id)
 	}
-	x := &observedAttempt{request: request, number: len(request.attempts), up: u, at: c.now, end: request.deadline, status: Timeout}
+	x := &observedAttempt{request: request, number: len(request.attempts), up: u, at: c.now, end: request.deadline,
+		status: Timeout}
 	if timeout > 0 {
 		x.end = min(request.deadline, c.now+timeout)
 	}
@@ -130,10 +133,10 @@
 	c.inFlight = append(c.inFlight, x)
 }
 
-// checkColdSend checks that a cold upstream gets no more than OverloadFactor times its capacity in any
-// OverloadWindow. The capacity of a warm one is taken as the most that any was sent in such a window, and
-// at least this balancer's even share of the traffic of runRandomEvents: 133 requests per second over two
-// balancers and five upstreams.
+// checkColdSend checks that a cold upstream gets no more than OverloadFactor times its capacity, plus 3
+// requests, in any OverloadWindow. The capacity of a warm one is taken as the most that any was sent in such
+// a window, and at least this balancer's even share of the traffic of runRandomEvents: 133 requests per second
+// over two balancers and five upstreams.
 func (c *ruleChecker) checkColdSend(u Upstream) {
 	age, window := c.now-u.StartedAt, c.s.Requirements.OverloadWindow
 	c.recentSends[u.ID] = append(slices.DeleteFunc(c.recentSends[u.ID], func(at time.Duration) bool {
@@ -144,9 +147,12 @@
 		c.maxSends = max(c.maxSends, n)
 		return
 	}
-	capacity := c.s.Requirements.ColdCapacity + (1-c.s.Requirements.ColdCapacity)*float64(age)/float64(c.s.Requirements.WarmupTime)
-	if maxSends := c.s.Requirements.OverloadFactor * capacity * max(float64(c.maxSends), 133.0/5/2*window.Seconds()); float64(n) > maxSends+3 {
-		c.violation("slow start: upstream %d, started %v ago: got %d requests, want at most %.1f", u.ID, age, n, maxSends)
+	capacity := c.s.Requirements.ColdCapacity +
+		(1-c.s.Requirements.ColdCapacity)*float64(age)/float64(c.s.Requirements.WarmupTime)
+	if maxSends := c.s.Requirements.OverloadFactor * capacity *
+		max(float64(c.maxSends), 133.0/5/2*window.Seconds()); float64(n) > maxSends+3 {
+		c.violation("slow start: upstream %d, started %v ago: got %d requests, want at most 3 more than %.1f",
+			u.ID, age, n, maxSends)
 	}
 }
 
@@ -160,7 +166,8 @@
 		c.violation("final answer: request %d answered %v after its deadline", r.id, c.now-r.deadline)
 	}
 	for _, x := range r.attempts {
-		repeatable := r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAll)
+		repeatable := r.class.Idempotency == Idempotent ||
+			(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAll)
 		if refused && x.mayHaveRun() && !repeatable {
 			c.violation("duplicates: request %d refused although it may have been executed", r.id)
 		}
@@ -172,7 +179,9 @@
 func runRandomEvents(t *testing.T, s Settings, seed uint64, origin time.Duration) (*ruleChecker, *recorder) {
 	t.Helper()
 	rng, maintenanceRNG := rand.New(rand.NewPCG(seed, 1)), rand.New(rand.NewPCG(seed, 2))
-	c := &ruleChecker{t: t, s: s, now: origin, requests: map[RequestID]*observedRequest{}, list: map[UpstreamID]Upstream{}, leavingSince: map[UpstreamID]time.Duration{}, inMaintenance: map[UpstreamID]bool{}, recentSends: map[UpstreamID][]time.Duration{}}
+	c := &ruleChecker{t: t, s: s, now: origin, requests: map[RequestID]*observedRequest{},
+		list: map[UpstreamID]Upstream{}, leavingSince: map[UpstreamID]time.Duration{},
+		inMaintenance: map[UpstreamID]bool{}, recentSends: map[UpstreamID][]time.Duration{}}
 	h := &recorder{onAction: c.handleAction}
 	b, err := New(s, seed, c.now, h)
 	if err != nil {
@@ -244,7 +253,8 @@
 		if x.status == OK && !done {
 			request.endedAt, request.finalAnswers, done = c.now, request.finalAnswers+1, true
 		}
-		o := Outcome{ID: request.id, Upstream: x.up.ID, Attempt: x.number, Latency: c.now - x.at, Status: x.status, RequestDone: done, Load: load}
+		o := Outcome{ID: request.id, Upstream: x.up.ID, Attempt: x.number, Latency: c.now - x.at,
+			Status: x.status, RequestDone: done, Load: load}
 		b.Outcome(c.now, o)
 		if rng.IntN(20) == 0 { // a duplicate, which must be ignored
 			b.Outcome(c.now, o)
@@ -252,7 +262,7 @@
 	}
 }
 
-// sendList passes a list to the Balancer.
+// sendList passes a list to the Balancer and notes the upstreams that it drains or removes.
 func (c *ruleChecker) sendList(b *Balancer, mode ListMode, list []Upstream) {
 	for _, u := range list {
 		c.list[u.ID] = u
@@ -338,9 +348,10 @@
 	hedging.Limits.Hedging, hedging.Limits.Cancel = true, false
 	polling.PollDiscovery, polling.Reports, polling.WorthByWork = true, ReportInProbes, false
 	manyBalancers := settings()
-	manyBalancers.Balancers, manyBalancers.Rank, manyBalancers.Limits.Hedging, manyBalancers.Weights = 5, 4, true, WeightLoadAdjusted
-	return map[string]Settings{"dedup zone": settings(), "dedup all": dedupAll, "dedup cell": dedupCell, "hedging": hedging,
-		"polling": polling, "many balancers": manyBalancers}
+	manyBalancers.Balancers, manyBalancers.Rank, manyBalancers.Limits.Hedging, manyBalancers.Weights =
+		5, 4, true, WeightLoadAdjusted
+	return map[string]Settings{"dedup zone": settings(), "dedup all": dedupAll, "dedup cell": dedupCell,
+		"hedging": hedging, "polling": polling, "many balancers": manyBalancers}
 }
 
 // Guards against decisions that break a rule in some unforeseen sequence of events.
@@ -355,11 +366,11 @@
 					name, seed, len(c.violations), c.violations[0])
 			}
 			if sends += h.count("send"); h.count("refuse") == 0 || h.count("fail") == 0 {
-				t.Errorf("%s, seed %d: got no refusal or no failure, want both so that the rules are tested", name, seed)
+				t.Errorf("%s, seed %d: got no refusal or no failure, want both to test the rules", name, seed)
 			}
 		}
 		if sends < 300*seeds { // summed over the seeds, since single ones vary
-			t.Errorf("%s: got only %d sends, too few to test the rules", name, sends)
+			t.Errorf("%s: got %d sends, want at least 300 a seed to test the rules", name, sends)
 		}
 	}
 }
@@ -409,7 +420,7 @@
 		feed(one, i)
 	}
 	if !slices.Equal(lines.lines, wantLines.lines) {
-		t.Error("got different actions from a balancer while another one was in use")
+		t.Error("got different actions from a balancer while another one was in use, want the same")
 	}
 }
 
@@ -433,7 +444,8 @@
 		id := RequestID(i + 1)
 		b.Request(now, Request{ID: id, Class: "read", Budget: 100 * ms, Key: uint64(i), HasKey: true})
 		if r := b.requests[id]; r != nil && r.attemptsInFlight > 0 {
-			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, RequestDone: true})
+			b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK,
+				RequestDone: true})
 		}
 		if i%20 == 0 {
 			b.Timer(now, tickToken)
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -32,7 +32,8 @@
 func largeSettings(classes, tenants int) Settings {
 	s := settings()
 	for i := range classes {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", i), LatencyTarget: 300 * ms, Deadline: time.Second, Worth: float64(i % 9)})
+		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", i), LatencyTarget: 300 * ms, Deadline: time.Second,
+			Worth: float64(i % 9)})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Quota: 2})
@@ -68,7 +69,8 @@
 func TestRemovedClassAndTenantAreRefused(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Tenant: "small", Budget: time.Second})
-	c := reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Classes, s.Tenants = s.Classes[1:], s.Tenants[:1] })
+	c := reconfigure(t, b, time.Hour, settings(),
+		func(s *Settings) { s.Classes, s.Tenants = s.Classes[1:], s.Tenants[:1] })
 	if c.Classes != (DiffCounts{Removed: 1}) || c.Tenants != (DiffCounts{Removed: 1}) {
 		t.Errorf("got class counts %+v, tenant counts %+v; want 1 removed each", c.Classes, c.Tenants)
 	}
@@ -81,7 +83,7 @@
 	first := b.requests[1].attempts[0].up.ID
 	b.Outcome(time.Hour+ms, Outcome{ID: 1, Upstream: first, Latency: ms, Status: Reset})
 	if h.count("send id=1") != 2 {
-		t.Errorf("accepted request was not retried: got actions %v", h.lines)
+		t.Errorf("accepted before the change: got actions %v, want request 1 sent again", h.lines)
 	}
 	second := b.requests[1].attempts[1].up.ID
 	b.Outcome(time.Hour+2*ms, Outcome{ID: 1, Upstream: second, Attempt: 1, Latency: ms, Status: OK, RequestDone: true})
@@ -100,10 +102,13 @@
 			change func(*Class)
 			sends  int
 		}{
-			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1}, // was read without an idempotency key
+			// The request was read as not idempotent.
+			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1},
 			{"read", func(c *Class) { c.Idempotency = NonIdempotent }, 2},
-			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},           // retry after 500 ms, old window of 400 ms
-			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2}, // keeps the old deadline of 1 s
+			// The first attempt ends after 500 ms, outside the old window of 400 ms.
+			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},
+			// The old deadline of 1 s applies.
+			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2},
 		} {
 			b, h := start(t, settings(), fleet(1))
 			q := Request{ID: 1, Class: c.class, Budget: time.Second, ClassSettings: b.plan.Class(c.class)}
@@ -121,7 +126,7 @@
 				b.Request(time.Hour, q)
 			}
 			if h.count("send id=1") != 1 {
-				t.Fatalf("%+v: request was not sent: got actions %v", c, h.lines)
+				t.Fatalf("%+v: got actions %v, want the request sent", c, h.lines)
 			}
 			b.Outcome(time.Hour+500*ms, Outcome{ID: 1, Upstream: 1, Latency: 500 * ms, Status: Error})
 			b.upstreams[0].pausedUntil = 0
@@ -143,8 +148,8 @@
 		now += 5 * ms
 		b.Request(now, Request{ID: i + 1, Class: "write", Tenant: "small", Budget: time.Second})
 		if r := b.requests[i+1]; r != nil && r.attemptsInFlight == 1 {
-			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true,
-				Load: Load{Fields: HasUtil, Util: float64(i%7) / 10}})
+			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK,
+				RequestDone: true, Load: Load{Fields: HasUtil, Util: float64(i%7) / 10}})
 		}
 		b.Timer(now, tickToken)
 	}
@@ -153,22 +158,25 @@
 		upstreamsBefore = append(upstreamsBefore, *u)
 	}
 	if statistics.latency == 0 || level.level < 1 || upstreamsBefore[0].readings == 0 {
-		t.Fatal("nothing was learnt")
+		t.Fatal("got no class latency, tenant level or utilisation readings, want all of them")
 	}
-	latencyBefore, capacityBefore, trafficShareBefore, virtualTimeBefore := b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
+	latencyBefore, capacityBefore, trafficShareBefore, virtualTimeBefore :=
+		b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
 	reconfigure(t, b, now, settings(), func(s *Settings) {
 		s.Classes[2].Worth, s.Tenants[1].Quota, s.Limits.MaxAttempts, s.OverQuotaWorth = 7, 40, 2, 0.5
 	})
 	for i, u := range b.upstreams {
 		before := upstreamsBefore[i]
-		if u.utilMean != before.utilMean || u.utilDev != before.utilDev || u.limit != before.limit || u.latency != before.latency || u.coldLevel != before.coldLevel ||
-			u.shareFactor != before.shareFactor || u.nextTurn != before.nextTurn || u.readings != before.readings {
+		if u.utilMean != before.utilMean || u.utilDev != before.utilDev || u.limit != before.limit ||
+			u.latency != before.latency || u.coldLevel != before.coldLevel || u.shareFactor != before.shareFactor ||
+			u.nextTurn != before.nextTurn || u.readings != before.readings {
 			t.Errorf("upstream %d: got %+v after the change, want %+v", u.ID, u, before)
 		}
 	}
-	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.latency != latencyBefore || b.capacityPerWeight != capacityBefore ||
-		b.trafficShare != trafficShareBefore || b.virtualTime != virtualTimeBefore {
-		t.Error("learnt state of classes, tenants or the fleet was changed by the reconfiguration")
+	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.latency != latencyBefore ||
+		b.capacityPerWeight != capacityBefore || b.trafficShare != trafficShareBefore ||
+		b.virtualTime != virtualTimeBefore {
+		t.Error("got other statistics of classes, tenants or all upstreams after the change, want the same")
 	}
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || r.class.Worth != 7 || r.class.latency != statistics.latency {
@@ -190,8 +198,10 @@
 	}
 	before := countOverQuota()
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Tenants[1].Quota = 60 })
-	if after := countOverQuota(); before <= after || after != 60-40 { // 60/2 + 2*sqrt(60/2) = 40.95 are within the quota
-		t.Errorf("got %d of 60 requests over a quota of 20, and %d over a quota of 60; want more, and 20", before, after)
+	// 60/2 + 2*sqrt(60/2) = 40.95 requests are within the larger quota.
+	if after := countOverQuota(); before <= after || after != 60-40 {
+		t.Errorf("got %d of 60 requests over a quota of 20, then %d over a quota of 60; want more than 20, then 20",
+			before, after)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Limits.MaxAttempts = 1 })
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: time.Second})
@@ -244,7 +254,7 @@
 	for name, stats := range b.classes {
 		kept[name] = *stats
 	}
-	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // restores all
+	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // adds all removed names again
 	restored := retained()
 	for range 20 {
 		tick()
@@ -255,7 +265,7 @@
 	}
 	for name, before := range kept {
 		if stats := b.classes[name]; stats == nil || *stats != before {
-			t.Errorf("class %s was restored before it was forgotten: got %+v, want %+v", name, stats, before)
+			t.Errorf("class %s, restored before it was forgotten: got %+v, want %+v", name, stats, before)
 		}
 	}
 	reconfigure(t, b, time.Hour, s, reduced)
@@ -300,7 +310,7 @@
 		b.Reconfigure(time.Hour, second, forward)
 	}
 	if reconfigureTime := time.Since(begin); reconfigureTime > 100*iterationTime {
-		t.Errorf("got %v for 1,000 reconfigurations, want at most 100 times an iteration over the tenants (sum %d): %v",
+		t.Errorf("got %v for 1,000 reconfigurations, want at most 100 iterations over the tenants (sum %d) of %v",
 			reconfigureTime, sum, iterationTime)
 	}
 }
--- a/requests_test.go
+++ b/requests_test.go
@@ -33,7 +33,7 @@
 		}
 		for i, d := range retryAfters {
 			if (d > 0) != allowed || d > s.Limits.MaxRetryAfter {
-				t.Errorf("RetryAfter permitted %v, refusal %d: got %v, want a time only if permitted, up to 400ms",
+				t.Errorf("RetryAfter permitted %v, refusal %d: got %v, want a time up to 400ms if permitted, else 0",
 					allowed, i, d)
 			}
 		}
@@ -80,9 +80,11 @@
 		b.Timer(now, tickToken)
 		for k := range 3 {
 			id := RequestID(3*i + k + 1)
-			b.Request(now, Request{ID: id, Class: "write", Tenant: []string{"", "small", "big"}[k], Key: uint64(id), HasKey: true, Budget: 300 * ms})
+			b.Request(now, Request{ID: id, Class: "write", Tenant: []string{"", "small", "big"}[k], Key: uint64(id),
+				HasKey: true, Budget: 300 * ms})
 			if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
-				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true})
+				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK,
+					RequestDone: true})
 			}
 		}
 		h.lines = nil
@@ -90,7 +92,8 @@
 	now += time.Minute
 	b.Timer(now, tickToken)
 	b.Timer(now+bandPeriod, tickToken)
-	for name, n := range map[string]int{"upstreams by ID": len(b.byID), "list of upstreams": len(b.upstreams), "subset": len(b.inUse)} {
+	for name, n := range map[string]int{"upstreams by ID": len(b.byID), "list of upstreams": len(b.upstreams),
+		"subset": len(b.inUse)} {
 		if n != 4 {
 			t.Errorf("%s: got %d entries, want 4", name, n)
 		}
@@ -104,7 +107,7 @@
 // Guards against a limit of 1.5 attempts that is rounded down to 1, which leaves upstreams idle during
 // network round trips.
 func TestConcurrencyLimitIsRounded(t *testing.T) {
-	b, h := start(t, settings(), fleet(2)) // each of two balancers has half of the initial limit
+	b, h := start(t, settings(), fleet(2)) // each of two balancers has half of initialFleetLimit
 	for i := range RequestID(10) {
 		b.Request(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
@@ -113,9 +116,8 @@
 	}
 }
 
-// Guards against a slot that is freed while the upstream still works: an attempt whose client has left, or
-// whose request another attempt has answered, occupies its slot until its outcome, or the upstream would
-// get more than it can serve.
+// Guards against a slot that is freed while the upstream still works: an attempt whose client has left
+// occupies its slot until its outcome, or the upstream would get more than it can serve.
 func TestAttemptOccupiesItsSlotAfterClientLeaves(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
@@ -152,7 +154,7 @@
 		t.Errorf("got %d of 3000 requests within the quota, want about 1500", within)
 	}
 	if later := 61 * time.Second; bucket.overQuota(later, 50) {
-		t.Error("tenant is over its quota one second after the last request, want it within")
+		t.Error("got a tenant over its quota one second after the last request, want it within")
 	}
 }
 
@@ -170,7 +172,7 @@
 	}
 	b.Request(time.Hour, Request{ID: 900, Class: "write", Tenant: "small", Budget: time.Second})
 	if r := b.requests[900]; r == nil || r.overQuota {
-		t.Error("request was not accepted or is over the quota, want it within since none was sent")
+		t.Error("got request 900 not accepted or over the quota, want it within since none was sent")
 	}
 }
 
@@ -194,7 +196,8 @@
 			now += 100 * ms
 			b.Request(now, Request{ID: id, Class: "write", Budget: budget})
 			if r := b.requests[id]; r != nil && r.attemptsInFlight == 1 {
-				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, RequestDone: true})
+				b.Outcome(now, Outcome{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK,
+					RequestDone: true})
 			}
 		}
 		now += time.Second
@@ -243,8 +246,8 @@
 	}
 }
 
-// Guards against lost requests that occupy their slots until the deadline, or make an upstream count as
-// silent although it responds to others.
+// Guards against lost attempts that occupy their slots until the deadline, or make an upstream count as
+// unresponsive although it responds to others.
 func TestLostAttemptIsHedgedAndFreesItsSlot(t *testing.T) {
 	for _, utilisation := range []float64{0.2, 0.95} {
 		s := settings()
@@ -262,23 +265,27 @@
 			id := RequestID(200 + i)
 			b.Request(now, Request{ID: id, Class: "write", Budget: time.Second})
 			load := Load{Fields: HasUtil, Util: utilisation + float64(i)/1000}
-			b.Outcome(now+30*ms, Outcome{ID: id, Upstream: b.requests[id].attempts[0].up.ID, Latency: 30 * ms, Status: OK, RequestDone: true, Load: load})
+			b.Outcome(now+30*ms, Outcome{ID: id, Upstream: b.requests[id].attempts[0].up.ID, Latency: 30 * ms,
+				Status: OK, RequestDone: true, Load: load})
 		}
 		b.Timer(now, tickToken)
 		r := b.requests[100]
-		if lost := utilisation < fullUtil; r.attempts[0].lost != lost || (u.activeAttempts() == 0) != lost || (r.attemptsInFlight == 2) != lost || u.unresponsive {
-			t.Errorf("utilisation %v: got lost %v, %d slots occupied, %d attempts in flight, silent %v; want it lost and hedged only at 0.2, never silent",
+		if lost := utilisation < fullUtil; r.attempts[0].lost != lost || (u.activeAttempts() == 0) != lost ||
+			(r.attemptsInFlight == 2) != lost || u.unresponsive {
+			t.Errorf(
+				"util %v: got lost %v, slots %d, attempts %d, unresponsive %v; want lost, 0, 2 only at 0.2; responsive",
 				utilisation, r.attempts[0].lost, u.activeAttempts(), r.attemptsInFlight, u.unresponsive)
 		}
 		b.Timer(now+b.responseTimeout(u, 1), tickToken)
 		if utilisation < fullUtil && u.unresponsive {
-			t.Errorf("upstream counts as silent because of a lost attempt: got last actions %v", h.lines[len(h.lines)-3:])
+			t.Errorf("lost attempt: got the upstream unresponsive, last actions %v; want it responsive",
+				h.lines[len(h.lines)-3:])
 		}
 	}
 }
 
-// Guards against intervals between trials of a silent upstream that grow without limit, or are prolonged by
-// failed connects.
+// Guards against intervals between trials of an unresponsive upstream that grow without limit, or are
+// prolonged by failed connects.
 func TestTrialIntervalIsLimitedByWarmupTime(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.upstreams[0], time.Hour
@@ -289,12 +296,12 @@
 		b.Outcome(now+ms, Outcome{ID: i + 1, Upstream: u.ID, Latency: ms, Status: ConnectFailed, RequestDone: true})
 	}
 	if u.backoff > b.config.Requirements.WarmupTime || u.pausedUntil > now+ms {
-		t.Errorf("got %v between trials, want at most %v; got no turn for another %v, want at most 1ms",
+		t.Errorf("got %v between trials, want at most %v; got the upstream paused for another %v, want at most 1ms",
 			u.backoff, b.config.Requirements.WarmupTime, u.pausedUntil-now)
 	}
 }
 
-// Guards against valuable requests that are refused while less valuable ones stay queued.
+// Guards against requests of much worth that are refused while those of less worth stay queued.
 func TestMoreValuableClassIsQueuedLonger(t *testing.T) {
 	s := settings()
 	s.WorthByWork, s.Classes[1].Worth = false, 15
@@ -307,7 +314,7 @@
 	b.Request(now, Request{ID: 2, Class: "read", Budget: time.Second})
 	valuable := b.requests[1].sendBy - now
 	if cheap := b.requests[2].sendBy - now; valuable < cheap+25*ms || valuable > s.Classes[1].LatencyTarget {
-		t.Errorf("got queue time %v for worth 15, want it 25ms longer than %v for worth 5, and within the target",
+		t.Errorf("got queue time %v for worth 15, want at least 25ms more than the %v for worth 5, within the target",
 			valuable, cheap)
 	}
 }
@@ -327,8 +334,9 @@
 		}
 		first = cmp.Or(first, now-time.Hour)
 	}
-	if elapsed := now - time.Hour; h.count("refuse") != 2 || elapsed+time.Duration(b.latency) > s.Classes[0].LatencyTarget || first < s.Classes[0].LatencyTarget/4 {
-		t.Errorf("got two tries queued for %v and %v, want both answered within the target of %v",
+	if elapsed := now - time.Hour; h.count("refuse") != 2 ||
+		elapsed+time.Duration(b.latency) > s.Classes[0].LatencyTarget || first < s.Classes[0].LatencyTarget/4 {
+		t.Errorf("got two tries queued for %v and %v, want both refused in the target of %v, the first after 1/4 of it",
 			first, elapsed-first, s.Classes[0].LatencyTarget)
 	}
 }
@@ -347,7 +355,8 @@
 	timeLeft := (b.requests[10].sendBy - now).Seconds()
 	b.dispatch(now)
 	ahead := int(b.sendRate * timeLeft) // requests that can be sent before the last one expires
-	if len(b.queued) != ahead+1 || h.count("refuse") != 10-len(b.queued) || b.requests[1] == nil || b.requests[10] == nil {
+	if len(b.queued) != ahead+1 || h.count("refuse") != 10-len(b.queued) || b.requests[1] == nil ||
+		b.requests[10] == nil {
 		t.Errorf("got %d queued, %d refused; want one more queued than the %d that can be sent in time",
 			len(b.queued), h.count("refuse"), ahead)
 	}
@@ -405,17 +414,17 @@
 	}
 }
 
-// Guards against a class with Worth 0 that is taken for the least valuable one, which would make stakes
-// zero or NaN.
+// Guards against a class with Worth 0 that is taken for the one of least worth, which would make worth
+// ratios zero or NaN.
 func TestClassWithoutWorthDoesNotAffectWorthRatio(t *testing.T) {
 	s := settings()
 	s.Classes[0].Worth = 0
 	b, _ := start(t, s, fleet(1))
 	if x := b.plan.worthRatio(b.plan.Class("read").Worth); x != 1 {
-		t.Errorf("class with worth 0: got stake %v, want 1", x)
+		t.Errorf("class with worth 0: got worth ratio %v, want 1", x)
 	}
 	if x := b.plan.worthRatio(b.plan.Class("keyed").Worth); x != s.Classes[2].Worth/s.Classes[1].Worth {
-		t.Errorf("class with worth 3: got stake %v, want 2/3", x)
+		t.Errorf("class with worth 3: got worth ratio %v, want 2/3", x)
 	}
 }
 
@@ -462,7 +471,7 @@
 	restarted[1].StartedAt = coldSince - 100*ms // the restart during maintenance, listed late
 	b.Members(now, ListDelta, restarted[1:2])
 	if b.byID[2].coldSince != coldSince {
-		t.Error("start before the end of maintenance counted as another restart")
+		t.Error("start before the end of maintenance: got another cold period, want the same")
 	}
 	if h.count("refuse") != 0 {
 		t.Errorf("got %d refusals although upstreams were free, want none", h.count("refuse"))
@@ -486,17 +495,17 @@
 	}
 	b.Request(now, Request{ID: 77, Class: "read", Budget: time.Second})
 	if h.count("refuse id=77") != 1 {
-		t.Error("request 77 was not refused at once")
+		t.Error("all in maintenance: got request 77 not refused, want it refused at once")
 	}
 	b.SetMaintenance(now, 2, false)
 	b.Request(now, Request{ID: 78, Class: "read", Budget: time.Second})
 	if h.count("refuse id=78") != 0 {
-		t.Error("request 78 was refused although an upstream was back from maintenance")
+		t.Error("one upstream back from maintenance: got request 78 refused, want it accepted")
 	}
 }
 
 // Guards against a streaming request that, before its body is complete, occupies a slot, makes its upstream
-// count as silent or uses up its deadline.
+// count as unresponsive or uses up its deadline.
 func TestStreamingRequestOccupiesNoSlotUntilBodyComplete(t *testing.T) {
 	s := settings()
 	s.Balancers = 1
@@ -509,12 +518,12 @@
 	if len(u.inFlight) != 20 || u.activeAttempts() != 0 {
 		t.Fatalf("got %d attempts in flight, %d slots occupied; want 20, 0", len(u.inFlight), u.activeAttempts())
 	}
-	for range 400 { // 4 s: longer than the deadline and the silence timeout
+	for range 400 { // 4 s: longer than the deadline and the response timeout
 		now += 10 * ms
 		b.Timer(now, tickToken)
 	}
 	if h.count("refuse")+h.count("fail")+h.count("cancel") != 0 || u.unresponsive {
-		t.Fatalf("while bodies arrive: got silent %v, actions %v; want false, and no refusal, failure or cancellation",
+		t.Fatalf("while bodies arrive: got unresponsive %v, actions %v; want false, no refusal, failure or cancel",
 			u.unresponsive, h.lines)
 	}
 	b.BodyComplete(now, 1)
@@ -543,26 +552,28 @@
 	first := b.requests[1].attempts[0]
 	b.retryElsewhere(first, now)
 	if h.count("send id=1 ") != 1 {
-		t.Fatal("streaming request was hedged, want one attempt")
+		t.Fatal("got the streaming request hedged, want one attempt")
 	}
 	b.Outcome(now, Outcome{ID: 1, Upstream: first.up.ID, Status: ConnectFailed})
 	if h.count("send id=1 ") != 2 {
-		t.Fatal("streaming request was not retried although its body was not consumed")
+		t.Fatal("body not consumed: got no retry of the streaming request, want one")
 	}
-	b.Outcome(now, Outcome{ID: 1, Upstream: b.requests[1].attempts[1].up.ID, Attempt: 1, Status: ConnectFailed, BodyConsumed: true})
+	b.Outcome(now, Outcome{ID: 1, Upstream: b.requests[1].attempts[1].up.ID, Attempt: 1,
+		Status: ConnectFailed, BodyConsumed: true})
 	if h.count("send id=1 ") != 2 || h.count("refuse id=1 ") != 1 {
 		t.Errorf("body consumed: got actions %v, want a refusal and no third attempt", h.lines)
 	}
 }
 
-// Guards against a streamed response that occupies a slot or makes its upstream count as silent until it
-// ends, or whose whole duration counts as latency.
+// Guards against a streamed response that occupies a slot or makes its upstream count as unresponsive until
+// it ends, or whose whole duration counts as latency.
 func TestStartedResponseFreesItsSlot(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	now := time.Hour + 40*ms
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: time.Second})
 	u := b.byID[1]
-	b.ResponseStarted(now, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true, Load: Load{Fields: HasUtil, Util: 0.5}})
+	b.ResponseStarted(now, Outcome{ID: 1, Upstream: 1, Latency: 40 * ms, Status: OK, RequestDone: true,
+		Load: Load{Fields: HasUtil, Util: 0.5}})
 	if u.activeAttempts() != 0 || u.readings != 1 || time.Duration(u.latency) != 40*ms {
 		t.Errorf("response started: got %d slots occupied, %d readings, latency %v; want 0, 1, 40ms",
 			u.activeAttempts(), u.readings, time.Duration(u.latency))
@@ -572,7 +583,7 @@
 		b.Timer(now, tickToken)
 	}
 	if u.unresponsive || h.count("refuse")+h.count("fail")+h.count("cancel") != 0 {
-		t.Errorf("during the response: got silent %v, actions %v; want false, and no refusal, failure or cancellation",
+		t.Errorf("during the response: got unresponsive %v, actions %v; want false, no refusal, failure or cancel",
 			u.unresponsive, h.lines)
 	}
 	b.Outcome(now, Outcome{ID: 1, Upstream: 1, Latency: 5 * time.Second, Status: Reset, RequestDone: true})
@@ -582,7 +593,7 @@
 	}
 }
 
-// Guards against a new balancer that takes many seconds to learn the work of a warm upstream, and leaves
+// Guards against a new balancer that takes many seconds to learn the capacity of a warm upstream, and leaves
 // cold ones idle until then.
 func TestNewBalancerLearnsWarmUpstreamCapacitySoon(t *testing.T) {
 	s := settings()
@@ -604,11 +615,12 @@
 		b.Timer(now, tickToken)
 	}
 	if b.capacityPerWeight != 0 {
-		t.Fatalf("got work of a warm upstream %v before the first request, want 0", b.capacityPerWeight)
+		t.Fatalf("got capacity %v of a warm upstream before the first request, want 0", b.capacityPerWeight)
 	}
 	serveFor(3)
 	if full := 25 / 0.5; b.capacityPerWeight < 0.6*full || b.capacityPerWeight > 1.2*full {
-		t.Errorf("got work of a warm upstream %.1f after 3 s, want about %.0f", b.capacityPerWeight, full)
+		t.Errorf("got capacity %.1f of a warm upstream after 3 s, want 0.6 to 1.2 times %.0f",
+			b.capacityPerWeight, full)
 	}
 }
 
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -16,11 +16,11 @@
 	requirements Requirements
 	warmRate     float64       // requests per second when warm
 	startedAt    time.Duration // 0: long ago
-	idleAt       time.Duration
-	report       Load
-	reportedAt   time.Duration
-	received     float64
-	busyTime     time.Duration
+	idleAt       time.Duration // end of the work received so far
+	report       Load          // carried by responses
+	reportedAt   time.Duration // latest update of report
+	received     float64       // requests since reportedAt
+	busyTime     time.Duration // work of the requests since reportedAt
 	arrivals     []time.Duration
 }
 
@@ -29,10 +29,11 @@
 	modelReportInterval = 400 * ms // minimum time between updates of the report
 )
 
-// capacity returns the requests per second that u can serve according to the settings.
+// capacity returns the requests per second that u can serve at a time according to the settings.
 func (u *modelUpstream) capacity(at time.Duration) float64 {
 	if age := at - u.startedAt; u.startedAt > 0 && age < u.requirements.WarmupTime {
-		return u.warmRate * (u.requirements.ColdCapacity + (1-u.requirements.ColdCapacity)*float64(age)/float64(u.requirements.WarmupTime))
+		return u.warmRate * (u.requirements.ColdCapacity +
+			(1-u.requirements.ColdCapacity)*float64(age)/float64(u.requirements.WarmupTime))
 	}
 	return u.warmRate
 }
@@ -45,7 +46,8 @@
 	u.received, u.busyTime = u.received+1, u.busyTime+workTime
 	u.after(u.idleAt-u.now+modelFixedLatency, func() {
 		if elapsed := u.now - u.reportedAt; elapsed >= modelReportInterval {
-			u.report = Load{Fields: HasUtil | HasRequestRate, Util: min(1, u.busyTime.Seconds()/elapsed.Seconds()), RequestRate: u.received / elapsed.Seconds()}
+			u.report = Load{Fields: HasUtil | HasRequestRate, Util: min(1, u.busyTime.Seconds()/elapsed.Seconds()),
+				RequestRate: u.received / elapsed.Seconds()}
 			u.received, u.busyTime, u.reportedAt = 0, 0, u.now
 		}
 		respond(u.report)
@@ -58,14 +60,15 @@
 	*simClock
 	b         *Balancer
 	upstreams map[UpstreamID]*modelUpstream
-	attempts  map[RequestID]int
+	attempts  map[RequestID]int // Sends so far
 }
 
 func (p *modelProxy) Send(id RequestID, up UpstreamID, _, _ time.Duration) {
 	attempt, sentAt := p.attempts[id], p.now
 	p.attempts[id]++
 	p.upstreams[up].handle(func(l Load) {
-		p.b.Outcome(p.now, Outcome{ID: id, Upstream: up, Attempt: attempt, Latency: p.now - sentAt, Status: OK, RequestDone: true, Load: l})
+		p.b.Outcome(p.now, Outcome{ID: id, Upstream: up, Attempt: attempt, Latency: p.now - sentAt, Status: OK,
+			RequestDone: true, Load: l})
 	})
 }
 
@@ -112,11 +115,12 @@
 // run simulates the case with several seeds. If justStarted is set, the balancers start as the upstreams
 // restart.
 func (c coldStartCase) run(t *testing.T, justStarted bool) {
-	t.Run(fmt.Sprintf("%+v, young %v", c, justStarted), func(t *testing.T) {
+	t.Run(fmt.Sprintf("%+v, just started %v", c, justStarted), func(t *testing.T) {
 		for seed := range uint64(max(1, 4/c.upstreams)) {
 			s := settings()
 			s.Balancers, s.Tenants = c.balancers, nil
-			s.Requirements.OverloadFactor, s.Requirements.ColdCapacity, s.Requirements.OverloadWindow = c.overloadFactor, c.coldCapacity, c.overloadWindow
+			s.Requirements.OverloadFactor, s.Requirements.ColdCapacity, s.Requirements.OverloadWindow =
+				c.overloadFactor, c.coldCapacity, c.overloadWindow
 			c.simulate(t, s, justStarted, seed)
 		}
 	})
@@ -134,9 +138,11 @@
 	rng, clock := rand.New(rand.NewPCG(seed, 9)), &simClock{now: time.Hour}
 	list, byID := fleet(c.upstreams), map[UpstreamID]*modelUpstream{}
 	for _, e := range list {
-		byID[e.ID] = &modelUpstream{simClock: clock, requirements: s.Requirements, warmRate: warmRate, reportedAt: clock.now}
+		byID[e.ID] = &modelUpstream{simClock: clock, requirements: s.Requirements, warmRate: warmRate,
+			reportedAt: clock.now}
 	}
-	weights, total, rateFactor := make([]float64, s.Balancers), 0.0, 1.0 // of the balancers' traffic, some several times the mean
+	// The weights of the balancers' traffic, some several times the mean.
+	weights, total, rateFactor := make([]float64, s.Balancers), 0.0, 1.0
 	for i := range weights {
 		weights[i] = 0.2 + rng.ExpFloat64()
 		total += weights[i]
@@ -167,7 +173,8 @@
 	restartedAt := clock.now
 	for i := range c.coldUpstreams {
 		list[i].StartedAt = restartedAt
-		*byID[list[i].ID] = modelUpstream{simClock: clock, requirements: s.Requirements, warmRate: warmRate, startedAt: restartedAt, reportedAt: restartedAt}
+		*byID[list[i].ID] = modelUpstream{simClock: clock, requirements: s.Requirements, warmRate: warmRate,
+			startedAt: restartedAt, reportedAt: restartedAt}
 	}
 	rateFactor = burstFactor
 	for _, proxy := range proxies {
@@ -182,15 +189,18 @@
 			for u.arrivals[first] <= at-s.Requirements.OverloadWindow {
 				first++
 			}
-			maxRequests := s.Requirements.OverloadFactor * u.capacity(max(restartedAt, at-s.Requirements.OverloadWindow/2)) * s.Requirements.OverloadWindow.Seconds()
+			maxRequests := s.Requirements.OverloadFactor *
+				u.capacity(max(restartedAt, at-s.Requirements.OverloadWindow/2)) *
+				s.Requirements.OverloadWindow.Seconds()
 			if got, limit := float64(last-first+1), maxRequests+2*math.Sqrt(maxRequests)+2; got > limit {
-				t.Errorf("seed %d: upstream %d got %.0f requests in a window that ends %v after its start, want at most %.1f",
+				t.Errorf("seed %d, upstream %d: got %.0f requests in a window until %v after start, want at most %.1f",
 					seed, e.ID, got, at-restartedAt, limit)
 				break
 			}
 		}
 	}
-	warmupCapacity := s.Requirements.WarmupTime.Seconds() * warmRate * (s.Requirements.ColdCapacity + 1) / 2 // requests of one upstream
+	// The requests that one upstream can serve during its warm-up.
+	warmupCapacity := s.Requirements.WarmupTime.Seconds() * warmRate * (s.Requirements.ColdCapacity + 1) / 2
 	if float64(sent) < warmupCapacity*float64(c.coldUpstreams)/3 {
 		t.Errorf("seed %d: got %d requests for %d cold upstreams, want at least a third of %.0f for each",
 			seed, sent, c.coldUpstreams, warmupCapacity)
