--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -32,7 +32,8 @@
 func largeSettings(classes, tenants int) Settings {
 	s := settings()
 	for i := range classes {
-		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", i), LatencyTarget: 300 * ms, Deadline: time.Second, Worth: float64(i % 9)})
+		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", i), LatencyTarget: 300 * ms, Deadline: time.Second,
+			Worth: float64(i % 9)})
 	}
 	for i := range tenants {
 		s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Quota: 2})
@@ -68,7 +69,8 @@
 func TestRemovedClassAndTenantAreRefused(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Tenant: "small", Budget: time.Second})
-	c := reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Classes, s.Tenants = s.Classes[1:], s.Tenants[:1] })
+	c := reconfigure(t, b, time.Hour, settings(),
+		func(s *Settings) { s.Classes, s.Tenants = s.Classes[1:], s.Tenants[:1] })
 	if c.Classes != (DiffCounts{Removed: 1}) || c.Tenants != (DiffCounts{Removed: 1}) {
 		t.Errorf("got class counts %+v, tenant counts %+v; want 1 removed each", c.Classes, c.Tenants)
 	}
@@ -81,7 +83,7 @@
 	first := b.requests[1].attempts[0].up.ID
 	b.Outcome(time.Hour+ms, Outcome{ID: 1, Upstream: first, Latency: ms, Status: Reset})
 	if h.count("send id=1") != 2 {
-		t.Errorf("accepted request was not retried: got actions %v", h.lines)
+		t.Errorf("accepted before the change: got actions %v, want request 1 sent again", h.lines)
 	}
 	second := b.requests[1].attempts[1].up.ID
 	b.Outcome(time.Hour+2*ms, Outcome{ID: 1, Upstream: second, Attempt: 1, Latency: ms, Status: OK, RequestDone: true})
@@ -100,10 +102,13 @@
 			change func(*Class)
 			sends  int
 		}{
-			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1}, // was read without an idempotency key
+			// The request was read as not idempotent.
+			{"write", func(c *Class) { c.Idempotency, c.DedupWindow = IdempotentByKey, time.Minute }, 1},
 			{"read", func(c *Class) { c.Idempotency = NonIdempotent }, 2},
-			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},           // retry after 500 ms, old window of 400 ms
-			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2}, // keeps the old deadline of 1 s
+			// The first attempt ends after 500 ms, outside the old window of 400 ms.
+			{"keyed", func(c *Class) { c.DedupWindow = time.Hour }, 1},
+			// The old deadline of 1 s applies.
+			{"read", func(c *Class) { c.LatencyTarget, c.Deadline = ms, ms }, 2},
 		} {
 			b, h := start(t, settings(), fleet(1))
 			q := Request{ID: 1, Class: c.class, Budget: time.Second, ClassSettings: b.plan.Class(c.class)}
@@ -121,7 +126,7 @@
 				b.Request(time.Hour, q)
 			}
 			if h.count("send id=1") != 1 {
-				t.Fatalf("%+v: request was not sent: got actions %v", c, h.lines)
+				t.Fatalf("%+v: got actions %v, want the request sent", c, h.lines)
 			}
 			b.Outcome(time.Hour+500*ms, Outcome{ID: 1, Upstream: 1, Latency: 500 * ms, Status: Error})
 			b.upstreams[0].pausedUntil = 0
@@ -143,32 +148,35 @@
 		now += 5 * ms
 		b.Request(now, Request{ID: i + 1, Class: "write", Tenant: "small", Budget: time.Second})
 		if r := b.requests[i+1]; r != nil && r.attemptsInFlight == 1 {
-			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, RequestDone: true,
-				Load: Load{Fields: HasUtil, Util: float64(i%7) / 10}})
+			b.Outcome(now, Outcome{ID: i + 1, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK,
+				RequestDone: true, Load: Load{Fields: HasUtil, Util: float64(i%7) / 10}})
 		}
 		b.Timer(now, tickToken)
 	}
-	statistics, level, ups := *b.classes["write"], *b.tenants["small"], []upstream{}
+	statistics, level, upstreamsBefore := *b.classes["write"], *b.tenants["small"], []upstream{}
 	for _, u := range b.upstreams {
-		ups = append(ups, *u)
+		upstreamsBefore = append(upstreamsBefore, *u)
 	}
-	if statistics.latency == 0 || level.level < 1 || ups[0].readings == 0 {
-		t.Fatal("nothing was learnt")
+	if statistics.latency == 0 || level.level < 1 || upstreamsBefore[0].readings == 0 {
+		t.Fatal("got no class latency, tenant level or utilisation readings, want all of them")
 	}
-	lat, carry, part, turn := b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
+	latencyBefore, capacityBefore, trafficShareBefore, virtualTimeBefore :=
+		b.latency, b.capacityPerWeight, b.trafficShare, b.virtualTime
 	reconfigure(t, b, now, settings(), func(s *Settings) {
 		s.Classes[2].Worth, s.Tenants[1].Quota, s.Limits.MaxAttempts, s.OverQuotaWorth = 7, 40, 2, 0.5
 	})
 	for i, u := range b.upstreams {
-		before := ups[i]
-		if u.utilMean != before.utilMean || u.utilDev != before.utilDev || u.limit != before.limit || u.latency != before.latency || u.coldLevel != before.coldLevel ||
-			u.shareFactor != before.shareFactor || u.nextTurn != before.nextTurn || u.readings != before.readings {
+		before := upstreamsBefore[i]
+		if u.utilMean != before.utilMean || u.utilDev != before.utilDev || u.limit != before.limit ||
+			u.latency != before.latency || u.coldLevel != before.coldLevel || u.shareFactor != before.shareFactor ||
+			u.nextTurn != before.nextTurn || u.readings != before.readings {
 			t.Errorf("upstream %d: got %+v after the change, want %+v", u.ID, u, before)
 		}
 	}
-	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.latency != lat || b.capacityPerWeight != carry ||
-		b.trafficShare != part || b.virtualTime != turn {
-		t.Error("learnt state of classes, tenants or the fleet was changed by the reconfiguration")
+	if *b.classes["write"] != statistics || *b.tenants["small"] != level || b.latency != latencyBefore ||
+		b.capacityPerWeight != capacityBefore || b.trafficShare != trafficShareBefore ||
+		b.virtualTime != virtualTimeBefore {
+		t.Error("got other statistics of classes, tenants or all upstreams after the change, want the same")
 	}
 	b.Request(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || r.class.Worth != 7 || r.class.latency != statistics.latency {
@@ -179,7 +187,7 @@
 // Guards against changed quotas, limits, balancer counts and ranks that do not take effect.
 func TestChangedSettingsTakeEffect(t *testing.T) {
 	b, h := start(t, settings(), fleet(60))
-	over := func() (n int) {
+	countOverQuota := func() (n int) {
 		b.tenants = map[string]*tenant{}
 		for range 60 {
 			if b.overQuota(&request{Request: Request{Tenant: "small"}}, time.Hour) {
@@ -188,10 +196,12 @@
 		}
 		return n
 	}
-	before := over()
+	before := countOverQuota()
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Tenants[1].Quota = 60 })
-	if after := over(); before <= after || after != 60-40 { // 60/2 + 2*sqrt(60/2) = 40.95 are within the quota
-		t.Errorf("got %d of 60 requests over a quota of 20, and %d over a quota of 60; want more, and 20", before, after)
+	// 60/2 + 2*sqrt(60/2) = 40.95 requests are within the larger quota.
+	if after := countOverQuota(); before <= after || after != 60-40 {
+		t.Errorf("got %d of 60 requests over a quota of 20, then %d over a quota of 60; want more than 20, then 20",
+			before, after)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Limits.MaxAttempts = 1 })
 	b.Request(time.Hour, Request{ID: 1, Class: "read", Budget: time.Second})
@@ -199,7 +209,7 @@
 	if h.count("send id=1") != 1 || h.count("refuse id=1") != 1 {
 		t.Errorf("MaxAttempts 1: got actions %v, want one send and a refusal", h.lines)
 	}
-	members := func() (n int) {
+	subsetSize := func() (n int) {
 		for _, u := range b.upstreams {
 			if u.inSubset {
 				n++
@@ -207,11 +217,11 @@
 		}
 		return n
 	}
-	if n := members(); n != 60 {
+	if n := subsetSize(); n != 60 {
 		t.Fatalf("2 balancers: got a subset of %d of 60 upstreams, want 60", n)
 	}
 	reconfigure(t, b, time.Hour, settings(), func(s *Settings) { s.Balancers, s.Rank = 80, 7 })
-	if n := members(); n > 10 {
+	if n := subsetSize(); n > 10 {
 		t.Errorf("80 balancers: got a subset of %d of 60 upstreams, want at most 10", n)
 	}
 }
@@ -236,15 +246,15 @@
 		b.Timer(time.Hour+time.Duration(ticks)*b.tickInterval, tickToken)
 	}
 	tick()
-	if gone := total - retained(); gone != removalsPerTick || len(b.classes) == 3 {
+	if forgotten := total - retained(); forgotten != removalsPerTick || len(b.classes) == 3 {
 		t.Errorf("got %d names forgotten in a tick, want %d; %d classes left, want more than 3",
-			gone, removalsPerTick, len(b.classes))
+			forgotten, removalsPerTick, len(b.classes))
 	}
 	level, kept := *b.tenants["t0"], map[string]classStatistics{}
-	for name, h := range b.classes {
-		kept[name] = *h
+	for name, stats := range b.classes {
+		kept[name] = *stats
 	}
-	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // restores all
+	reconfigure(t, b, time.Hour, s, func(*Settings) {}) // adds all removed names again
 	restored := retained()
 	for range 20 {
 		tick()
@@ -254,8 +264,8 @@
 			retained(), restored, len(b.pendingRemovals))
 	}
 	for name, before := range kept {
-		if h := b.classes[name]; h == nil || *h != before {
-			t.Errorf("class %s was restored before it was forgotten: got %+v, want %+v", name, h, before)
+		if stats := b.classes[name]; stats == nil || *stats != before {
+			t.Errorf("class %s, restored before it was forgotten: got %+v, want %+v", name, stats, before)
 		}
 	}
 	reconfigure(t, b, time.Hour, s, reduced)
@@ -294,14 +304,14 @@
 	for name := range first.tenants {
 		sum += len(name)
 	}
-	scanTime := time.Since(begin)
+	iterationTime := time.Since(begin)
 	begin = time.Now()
 	for range 1000 {
 		b.Reconfigure(time.Hour, second, forward)
 	}
-	if swapTime := time.Since(begin); swapTime > 100*scanTime {
-		t.Errorf("got %v for 1,000 reconfigurations, want at most 100 times an iteration over the tenants (sum %d): %v",
-			swapTime, sum, scanTime)
+	if reconfigureTime := time.Since(begin); reconfigureTime > 100*iterationTime {
+		t.Errorf("got %v for 1,000 reconfigurations, want at most 100 iterations over the tenants (sum %d) of %v",
+			reconfigureTime, sum, iterationTime)
 	}
 }
 
@@ -310,13 +320,13 @@
 	fastest := func(classes int) time.Duration {
 		s, best := largeSettings(classes, 0), time.Hour
 		for range 7 {
-			begin, steps := time.Now(), 0
-			if _, err := NewPlan(s, func() { steps++ }); err != nil {
+			begin, yields := time.Now(), 0
+			if _, err := NewPlan(s, func() { yields++ }); err != nil {
 				t.Fatal(err)
 			}
 			best = min(best, time.Since(begin))
-			if steps != len(s.Classes)+len(s.Tenants) {
-				t.Fatalf("got %d calls of yield for %d classes, want one for each class and tenant", steps, classes)
+			if yields != len(s.Classes)+len(s.Tenants) {
+				t.Fatalf("got %d calls of yield for %d classes, want one for each class and tenant", yields, classes)
 			}
 		}
 		return best
