--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -113,21 +113,21 @@
 
 // Guards against exceeding the smallest limits of memory and descriptors with 1,024 servers and as many balancers, with
 // complete and incremental lists.
-func TestThousandServersAndBalancers(t *testing.T) {
-	const fleet = 1024
-	s := newTestUpstream(t, respondOK)
+func TestThousandUpstreamsAndBalancers(t *testing.T) {
+	const fleetSize = 1024
+	upstream := newTestUpstream(t, respondOK)
 	b := startBalancerWith(t, func(c *Config) {
-		c.Plan = parsedConfigWith(t, c.Discovery, nil, `"balancers":1`, fmt.Sprint(`"balancers":`, fleet)).Plan
+		c.Plan = parsedConfigWith(t, c.Discovery, nil, `"balancers":1`, fmt.Sprint(`"balancers":`, fleetSize)).Plan
 		c.MemoryMB, c.Sockets = 32, 256
 	})
 	var list []member
-	for i := range fleet {
-		list = append(list, upMember(fmt.Sprintf("s-%08x", 0x9e3779b9*uint32(i)), s))
+	for i := range fleetSize {
+		list = append(list, upMember(fmt.Sprintf("s-%08x", 0x9e3779b9*uint32(i)), upstream))
 	}
 	<-b.discovery.calls
 	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: list}
 	var leaving []member
-	for _, m := range list[:fleet/2] {
+	for _, m := range list[:fleetSize/2] {
 		leaving = append(leaving, drainingMember(m))
 	}
 	<-b.discovery.calls
@@ -144,8 +144,8 @@
 				usable++
 			}
 		}
-		want(t, "servers", len(l.upstreams), fleet)
-		want(t, "servers in use", usable, fleet/2)
+		want(t, "servers", len(l.upstreams), fleetSize)
+		want(t, "servers in use", usable, fleetSize/2)
 		return true
 	})
 	var m runtime.MemStats
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -52,11 +52,11 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	plain, err := syscall.Dup(int(file.Fd()))
+	plainFD, err := syscall.Dup(int(file.Fd()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, fd := range map[string]int{"connection": duplicateDescriptor(t, c.(*net.TCPConn)), "file": plain,
+	for what, fd := range map[string]int{"connection": duplicateDescriptor(t, c.(*net.TCPConn)), "file": plainFD,
 		"packet socket": duplicateDescriptor(t, packets.(*net.UDPConn)), "closed descriptor": 1 << 20} {
 		if l, err := Listen(&Config{InheritedFD: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
 			t.Errorf("%s: got listener %v and error %v, want an error naming RELAY_INHERITED_FD", what, l, err)
@@ -81,12 +81,12 @@
 
 func openTestStateFile(t *testing.T, dir string) *stateFile {
 	t.Helper()
-	b, err := openStateFile(&Config{Name: "n/0", StateDir: dir, InheritedFD: 4})
+	state, err := openStateFile(&Config{Name: "n/0", StateDir: dir, InheritedFD: 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.close)
-	return b
+	t.Cleanup(state.close)
+	return state
 }
 
 // Guards against a state file with invalid content preventing the start or the storing of later orders.
@@ -97,13 +97,13 @@
 		if err := os.WriteFile(filepath.Join(dir, "olivearch-n%2F0.json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		b := openTestStateFile(t, dir)
-		want(t, what+": out of service", b.current.Load().OutOfService, false)
-		want(t, what+": upstreams offline", len(b.current.Load().Offline), 0)
-		if err := b.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
+		state := openTestStateFile(t, dir)
+		want(t, what+": out of service", state.current.Load().OutOfService, false)
+		want(t, what+": upstreams offline", len(state.current.Load().Offline), 0)
+		if err := state.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
-		if o, _, err := b.read(); err != nil || len(o.Offline) != 1 || o.OutOfService {
+		if o, _, err := state.read(); err != nil || len(o.Offline) != 1 || o.OutOfService {
 			t.Errorf("%s: after an update, got orders %v and error %v", what, o, err)
 		}
 	}
@@ -113,46 +113,46 @@
 // or overwrite them.
 func TestProcessesShareOrders(t *testing.T) {
 	dir := t.TempDir()
-	a := openTestStateFile(t, dir)
-	want(t, "first process alone", a.alone(), true)
-	b := openTestStateFile(t, dir)
-	want(t, "older process alone beside a newer one", a.alone(), false)
-	want(t, "newer process alone beside an older one", b.alone(), false)
+	older := openTestStateFile(t, dir)
+	want(t, "first process alone", older.alone(), true)
+	newer := openTestStateFile(t, dir)
+	want(t, "older process alone beside a newer one", older.alone(), false)
+	want(t, "newer process alone beside an older one", newer.alone(), false)
 	for _, x := range []struct {
 		state *stateFile
 		id    string
-	}{{a, "s-1"}, {b, "s-2"}} {
+	}{{older, "s-1"}, {newer, "s-2"}} {
 		if err := x.state.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want(t, "new orders", a.refresh(), true)
-	want(t, "offline", strings.Join(a.current.Load().Offline, " "), "s-1 s-2")
-	want(t, "new orders on a second refresh", a.refresh(), false)
-	if err := os.WriteFile(b.path, []byte("{"), 0o600); err != nil {
+	want(t, "new orders", older.refresh(), true)
+	want(t, "offline", strings.Join(older.current.Load().Offline, " "), "s-1 s-2")
+	want(t, "new orders on a second refresh", older.refresh(), false)
+	if err := os.WriteFile(newer.path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "new orders in an invalid file", a.refresh(), false)
-	want(t, "offline after an invalid file", len(a.current.Load().Offline), 2)
-	b.close()
-	want(t, "alone after the other process has ended", a.alone(), true)
-	lock, err := tryLock(a.path + ".lock")
+	want(t, "new orders in an invalid file", older.refresh(), false)
+	want(t, "offline after an invalid file", len(older.current.Load().Offline), 2)
+	newer.close()
+	want(t, "alone after the other process has ended", older.alone(), true)
+	lock, err := tryLock(older.path + ".lock")
 	if err != nil || lock == nil {
 		t.Fatalf("the lock is not free after the updates: %v", err)
 	}
 	defer lock.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if err := a.update(ctx, func(*operatorOrders) {}); !errors.Is(err, context.DeadlineExceeded) {
+	if err := older.update(ctx, func(*operatorOrders) {}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("update with the lock held: got %v, want a time-out", err)
 	}
 }
 
 // Guards against an order undoing a later one that the loop applies before it.
 func TestConcurrentOrdersBothApply(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	upstream := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s), upMember("s-00000002", s))
+	h.setMembers(20, upMember("s-00000001", upstream), upMember("s-00000002", upstream))
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -162,11 +162,11 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	d := newAdminServer(h.loop, newFrontend(&c, listener, h.loop), openTestStateFile(t, t.TempDir()))
+	admin := newAdminServer(h.loop, newFrontend(&c, listener, h.loop), openTestStateFile(t, t.TempDir()))
 	results := make(chan error, 2)
 	queueOrder := func(id string) adminLoopCall {
 		go func() {
-			results <- d.updateOrders(t.Context(), func(o *operatorOrders) {
+			results <- admin.updateOrders(t.Context(), func(o *operatorOrders) {
 				o.Offline, o.OutOfService = append(o.Offline, id), id == "s-00000002"
 			})
 		}()
@@ -180,18 +180,18 @@
 		want(t, "error of a call", <-results, nil)
 	}
 	want(t, "upstreams in maintenance", len(h.inMaintenance), 2)
-	want(t, "draining", d.front.closeAfterResponse(), true)
+	want(t, "draining", admin.front.closeAfterResponse(), true)
 }
 
 // startSuccessor starts another process of b that shares its listening socket. Its discovery has not answered yet.
-func (b *testBalancer) startSuccessor(t *testing.T, l net.Listener, members ...member) *testBalancer {
+func (b *testBalancer) startProcess(t *testing.T, l net.Listener, members ...member) *testBalancer {
 	t.Helper()
 	admin := freeAddress(t)
-	successor := startBalancerWith(t, func(c *Config) {
+	process := startBalancerWith(t, func(c *Config) {
 		c.Operator, c.StateDir, c.InheritedFD = admin, b.config.StateDir, duplicateDescriptor(t, l.(*net.TCPListener))
 	}, members...)
-	successor.url = "http://" + l.Addr().String()
-	return successor
+	process.url = "http://" + l.Addr().String()
+	return process
 }
 
 // Guards against refused or reset connections, unanswered requests and orders that apply to only one of the two processes
@@ -203,7 +203,7 @@
 	}
 	defer l.Close()
 	hold, held := make(chan struct{}), atomic.Bool{}
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Hold") != "" {
 			held.Store(true)
 			<-hold
@@ -211,62 +211,62 @@
 		return writeOK(c, "done")
 	})
 	go func() {
-		for range s.received {
+		for range upstream.received {
 		}
 	}()
 	offline := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool { return writeOK(c, "never") })
-	members := []member{upMember("s-00000001", s), upMember("s-00000002", offline)}
-	first := &testBalancer{config: Config{StateDir: t.TempDir()}}
-	old := first.startSuccessor(t, l, members...)
-	old.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
-	old.waitUntil(t, "ready", func() bool { return old.adminCall(t, "GET", "/control/ready") == 200 })
-	want(t, "status of offline", old.adminCall(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
+	members := []member{upMember("s-00000001", upstream), upMember("s-00000002", offline)}
+	unstarted := &testBalancer{config: Config{StateDir: t.TempDir()}}
+	older := unstarted.startProcess(t, l, members...)
+	older.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	older.waitUntil(t, "ready", func() bool { return older.adminCall(t, "GET", "/control/ready") == 200 })
+	want(t, "status of offline", older.adminCall(t, "PUT", "/control/upstreams/s-00000002/offline"), 200)
 
-	inFlight := old.dialClient(t)
-	inFlight.send(t, old.newRequest("checkin", "", "X-Hold", "1"))
-	old.waitUntil(t, "request received by the upstream", held.Load)
-	successor := old.startSuccessor(t, l, members...)
-	successor.waitUntil(t, "not ready without a list", func() bool { return successor.adminCall(t, "GET", "/control/ready") == 503 })
-	want(t, "query of its first call, for the whole list", <-successor.discovery.calls, "")
-	successor.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
-	successor.waitUntil(t, "new process ready", func() bool { return successor.adminCall(t, "GET", "/control/ready") == 200 })
+	inFlight := older.dialClient(t)
+	inFlight.send(t, older.newRequest("checkin", "", "X-Hold", "1"))
+	older.waitUntil(t, "request received by the upstream", held.Load)
+	newer := older.startProcess(t, l, members...)
+	newer.waitUntil(t, "not ready without a list", func() bool { return newer.adminCall(t, "GET", "/control/ready") == 503 })
+	want(t, "query of its first call, for the whole list", <-newer.discovery.calls, "")
+	newer.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
+	newer.waitUntil(t, "new process ready", func() bool { return newer.adminCall(t, "GET", "/control/ready") == 200 })
 	// While both accept connections, an order to the new one applies to both once the call has succeeded.
-	want(t, "status of out-of-service", successor.adminCall(t, "PUT", "/control/out-of-service"), 200)
+	want(t, "status of out-of-service", newer.adminCall(t, "PUT", "/control/out-of-service"), 200)
 	for range 20 {
-		want(t, "health during the drain", old.healthStatus(t), 503)
+		want(t, "health during the drain", older.healthStatus(t), 503)
 	}
-	want(t, "status of in-service", successor.adminCall(t, "PUT", "/control/in-service"), 200)
+	want(t, "status of in-service", newer.adminCall(t, "PUT", "/control/in-service"), 200)
 	for range 20 {
-		want(t, "health after the drain", old.healthStatus(t), 200)
+		want(t, "health after the drain", older.healthStatus(t), 200)
 	}
-	idle := old.dialClient(t)
-	idle.send(t, old.newRequest("read", ""))
+	idle := older.dialClient(t)
+	idle.send(t, older.newRequest("read", ""))
 	want(t, "response closes the connection", idle.readResponse(t).Close, false)
-	old.cancel()
-	idle.send(t, old.newRequest("read", ""))
+	older.cancel()
+	idle.send(t, older.newRequest("read", ""))
 	resp := idle.readResponse(t)
 	want(t, "status on an idle connection", resp.StatusCode, 200)
 	for range 50 { // until the old process has closed its connections, and longer
-		c := successor.dialClient(t)
-		c.send(t, successor.newRequest("read", ""))
+		c := newer.dialClient(t)
+		c.send(t, newer.newRequest("read", ""))
 		want(t, "status on a new connection", c.readResponse(t).StatusCode, 200)
 	}
 	close(hold)
 	resp = inFlight.readResponse(t)
 	want(t, "status of the old process's request in flight", resp.StatusCode, 200)
-	if err := <-old.runResult; err != nil {
+	if err := <-older.runResult; err != nil {
 		t.Error(err)
 	}
-	old.runResult <- nil
-	want(t, "health of the new process", successor.healthStatus(t), 200)
+	older.runResult <- nil
+	want(t, "health of the new process", newer.healthStatus(t), 200)
 	select {
 	case r := <-offline.received:
 		t.Errorf("a request was sent to an upstream in maintenance: %s", r.URL)
 	default:
 	}
-	want(t, "status of online", successor.adminCall(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
-	successor.waitUntil(t, "upstream used after maintenance", func() bool {
-		_, body := successor.do(t, successor.newRequest("read", ""))
+	want(t, "status of online", newer.adminCall(t, "PUT", "/control/upstreams/s-00000002/online"), 200)
+	newer.waitUntil(t, "upstream used after maintenance", func() bool {
+		_, body := newer.do(t, newer.newRequest("read", ""))
 		return body == "never"
 	})
 }
@@ -274,19 +274,19 @@
 // Guards against a new process that forgets that the balancer was out of service, is not ready because of it, or does not
 // shut down.
 func TestDrainSurvivesRestart(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	upstream := newTestUpstream(t, respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	members := []member{upMember("s-00000001", s)}
-	first := &testBalancer{config: Config{StateDir: t.TempDir()}}
-	if err := os.WriteFile(filepath.Join(first.config.StateDir, "olivearch-n0.json"),
+	members := []member{upMember("s-00000001", upstream)}
+	unstarted := &testBalancer{config: Config{StateDir: t.TempDir()}}
+	if err := os.WriteFile(filepath.Join(unstarted.config.StateDir, "olivearch-n0.json"),
 		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"unknown fields are ignored"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b := first.startSuccessor(t, l, members...)
+	b := unstarted.startProcess(t, l, members...)
 	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.waitUntil(t, "ready", func() bool { return b.adminCall(t, "GET", "/control/ready") == 200 })
 	want(t, "health", b.healthStatus(t), 503)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -38,11 +38,11 @@
 }
 
 // roundTrip sends a request, and applies events until it is answered and its attempts have ended.
-func (h *loopHarness) roundTrip(name string, budget time.Duration) clientResponse {
+func (h *loopHarness) roundTrip(id string, budget time.Duration) clientResponse {
 	h.t.Helper()
-	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
+	r := &request{clientRequestID: id, at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", budget
-	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
+	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {id}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
 	for len(h.requests) > 0 || h.hasAttemptsInFlight() {
@@ -69,22 +69,22 @@
 // Guards against state that the loop keeps for removed upstreams and finished requests, and against using a connection of a
 // removed upstream for one with another id at the same address.
 func TestUpstreamTurnoverLeavesNoState(t *testing.T) {
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, r.Header.Get("X-Request-Id")) })
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, r.Header.Get("X-Request-Id")) })
 	go func() {
-		for range s.received {
+		for range upstream.received {
 		}
 	}()
 	h := newLoopHarness(t)
 	const ids = 2000
 	for i := range ids {
-		h.setMembers(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), s))
-		name := fmt.Sprintf("%016x", i)
-		a := h.roundTrip(name, 4*time.Second)
-		if a.status != 200 || string(a.body) != name {
-			t.Fatalf("request %d: got %d, %q", i, a.status, a.body)
+		h.setMembers(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), upstream))
+		requestID := fmt.Sprintf("%016x", i)
+		resp := h.roundTrip(requestID, 4*time.Second)
+		if resp.status != 200 || string(resp.body) != requestID {
+			t.Fatalf("request %d: got %d, %q", i, resp.status, resp.body)
 		}
 	}
-	want(t, "connections opened", s.connsOpened(), ids)
+	want(t, "connections opened", upstream.connsOpened(), ids)
 	want(t, "upstreams", len(h.upstreams), 1)
 	want(t, "assigned upstream numbers", len(h.upstreamIDs.ids), 1)
 	want(t, "taken upstream numbers", len(h.upstreamIDs.taken), 1)
@@ -96,21 +96,21 @@
 	if n := len(h.timers); n > 5 { // the Balancer's own timers
 		t.Errorf("%d timers are left, want at most 5", n)
 	}
-	h.setMembers(90000, drainingMember(upMember("s-0fffffff", s)))
+	h.setMembers(90000, drainingMember(upMember("s-0fffffff", upstream)))
 	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
 	want(t, "upstream numbers after the removal of an unlisted one", len(h.upstreamIDs.ids), 1)
 }
 
 // Guards against refusing an attempt at the connection limit while a connection to any upstream is idle: the one that has
 // been idle longest has to be closed.
-func TestOldestIdleConnectionIsEvicted(t *testing.T) {
-	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+func TestIdleConnectionIsClosedAtConnLimit(t *testing.T) {
+	first, second := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
 	h.maxConns = 1
-	h.setMembers(20, upMember("s-00000001", one))
+	h.setMembers(20, upMember("s-00000001", first))
 	want(t, "status of the first request", h.roundTrip("1", time.Second).status, 200)
-	h.setMembers(21, upMember("s-00000001", one), upMember("s-00000002", two))
-	for i := 0; len(two.received) == 0; i++ {
+	h.setMembers(21, upMember("s-00000001", first), upMember("s-00000002", second))
+	for i := 0; len(second.received) == 0; i++ {
 		if i > 20 {
 			t.Fatal("the second upstream got no request")
 		}
@@ -123,7 +123,7 @@
 // request.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
 	duplicated := make(chan struct{}, 2)
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		writeOK(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
 			time.Sleep(connReuseDelay / 2) // after the response, within the delay
@@ -133,18 +133,18 @@
 		return true
 	})
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", upstream))
 	want(t, "response to the first request", string(h.roundTrip("1", time.Second).body), "1")
 	<-duplicated
 	want(t, "response to the second request", string(h.roundTrip("2", time.Second).body), "2")
-	want(t, "connections opened", s.connsOpened(), 2)
+	want(t, "connections opened", upstream.connsOpened(), 2)
 }
 
 // Guards against reusing a connection before connReuseDelay, and against not reusing it afterwards.
 func TestConnReuseDelay(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	upstream := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", upstream))
 	want(t, "status of the first request", h.roundTrip("1", time.Second).status, 200)
 	u := h.upstreams[h.upstreamIDs.id("s-00000001")]
 	idleSince := u.idleConns[0].idleAt
@@ -158,16 +158,16 @@
 // ended.
 func TestRemovedUpstreamIsDroppedAfterItsAttempt(t *testing.T) {
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", upstream))
 	r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
 	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
-	<-s.received
-	h.setMembers(21, upMember("s-00000002", s))
+	<-upstream.received
+	h.setMembers(21, upMember("s-00000002", upstream))
 	want(t, "upstreams while the attempt is in flight", len(h.upstreams), 2)
 	close(release)
 	(<-h.events).apply(h.loop)
@@ -180,11 +180,11 @@
 func TestAttemptOverConnLimitIsNotSent(t *testing.T) {
 	h := newLoopHarness(t)
 	h.maxConns = 0
-	s := newTestUpstream(t, respondOK)
-	h.setMembers(20, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	h.setMembers(20, upMember("s-00000001", upstream))
 	want(t, "status", h.roundTrip("1", time.Second).status, http.StatusServiceUnavailable)
 	want(t, "connections", h.connCount, 0)
-	want(t, "connections opened", s.connsOpened(), 0)
+	want(t, "connections opened", upstream.connsOpened(), 0)
 }
 
 // delayConns delays new connections until release is closed. dialing receives the address of each one.
@@ -211,10 +211,10 @@
 }
 
 // startRequest passes a request to the loop and does not wait for its response.
-func (h *loopHarness) startRequest(class, name string, budget time.Duration) *request {
-	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
+func (h *loopHarness) startRequest(class, id string, budget time.Duration) *request {
+	r := &request{clientRequestID: id, at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = class, budget
-	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
+	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {id}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
 	return r
@@ -234,10 +234,10 @@
 		"client left": func(h *loopHarness, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestUpstream(t, respondOK)
+			upstream := newTestUpstream(t, respondOK)
 			h := newLoopHarness(t)
 			dialing, release := h.delayConns()
-			h.setMembers(20, upMember("s-00000001", s))
+			h.setMembers(20, upMember("s-00000001", upstream))
 			r := h.startRequest("read", "1", 100*time.Millisecond)
 			<-dialing
 			end(h, r)
@@ -245,7 +245,7 @@
 			want(t, "closed", r.closed, true)
 			close(release)
 			h.applyNextEvent() // attemptFinished, with the connection
-			want(t, "requests written", len(s.received), 0)
+			want(t, "requests written", len(upstream.received), 0)
 			want(t, "connections kept", h.connCount, 1)
 			want(t, "requests open", len(h.requests), 0)
 			want(t, "attempts in flight", r.inFlight, 0)
@@ -318,20 +318,20 @@
 // whose deadline has passed.
 func TestDeadlineHeaderIsSetAtWrite(t *testing.T) {
 	for delay, wantHeader := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
-		s := newTestUpstream(t, respondOK)
+		upstream := newTestUpstream(t, respondOK)
 		h := newLoopHarness(t)
 		dialing, release := h.delayConns()
 		fakeClock := h.fakeClock()
-		h.setMembers(20, upMember("s-00000001", s))
+		h.setMembers(20, upMember("s-00000001", upstream))
 		r := h.startRequest("read", "1", time.Second)
 		<-dialing
 		fakeClock.Store(int64(r.attempts[0].responseDeadline - time.Second + delay))
 		close(release)
 		h.applyNextEvent()
 		if wantHeader == "" {
-			want(t, "requests written", len(s.received), 0)
+			want(t, "requests written", len(upstream.received), 0)
 		} else {
-			want(t, "X-Deadline-Ms", (<-s.received).Header.Get("X-Deadline-Ms"), wantHeader)
+			want(t, "X-Deadline-Ms", (<-upstream.received).Header.Get("X-Deadline-Ms"), wantHeader)
 		}
 	}
 }
@@ -348,9 +348,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestUpstream(t, respondOK)
+			upstream := newTestUpstream(t, respondOK)
 			h := newLoopHarness(t)
-			one := upMember("s-00000001", s)
+			one := upMember("s-00000001", upstream)
 			h.setMembers(20, one)
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{drainingMember(one)}}}
@@ -393,7 +393,7 @@
 // that reads the connection closes it.
 func TestAbortPrecedesNextAttempt(t *testing.T) {
 	releaseReads := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
+	server := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
 	h := newLoopHarness(t)
 	calls, n := make(chan string, 10), 0
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -405,10 +405,10 @@
 		return recordingConn{c.(*net.TCPConn), fmt.Sprint(n), calls, releaseReads}, nil
 	}
 	t.Cleanup(func() { close(releaseReads) })
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", server))
 	r := h.startRequest("read", "1", 4*time.Second)
 	want(t, "first call", <-calls, "1 written")
-	<-s.received
+	<-server.received
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	if len(r.attempts) == 1 { // the Balancer pauses before the next attempt
 		h.Send(r.ID, r.attempts[0].upstream.id, 0, 0)
@@ -419,9 +419,9 @@
 
 // Guards against reusing the connection of an attempt that is aborted just as its response arrives.
 func TestAbortedConnectionIsNotReused(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	server := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", server))
 	r := h.startRequest("read", "1", 4*time.Second)
 	e := <-h.events // the response, not applied yet
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
--- a/internal/proxy/memnet_test.go
+++ b/internal/proxy/memnet_test.go
@@ -168,7 +168,7 @@
 }
 
 // newMemBalancerConfig returns a configuration without a cached list, modified by set.
-func memBalancerConfig(t *testing.T, set func(*Config, *garnettide.Settings)) Config {
+func memBalancerConfig(t *testing.T, modify func(*Config, *garnettide.Settings)) Config {
 	t.Helper()
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
@@ -179,7 +179,7 @@
 		t.Fatal(err)
 	}
 	c.CachedList = discoveryList{}
-	set(&c, &settings)
+	modify(&c, &settings)
 	if c.Plan, err = garnettide.NewPlan(settings, func() {}); err != nil {
 		t.Fatal(err)
 	}
@@ -187,9 +187,9 @@
 }
 
 func newMemBalancer(t *testing.T, emptyPipe *os.File, dialDiscovery func(context.Context, string, string) (net.Conn, error),
-	set func(*Config, *garnettide.Settings)) *memBalancer {
+	modify func(*Config, *garnettide.Settings)) *memBalancer {
 	t.Helper()
-	c := memBalancerConfig(t, set)
+	c := memBalancerConfig(t, modify)
 	ctx, cancel := context.WithCancel(t.Context())
 	b := &memBalancer{loop: newLoop(ctx, &c), cancel: cancel, memUpstreams: map[string]*memUpstream{}, connectGate: make(chan struct{}), emptyPipe: emptyPipe}
 	b.discoveryClient.dial = dialDiscovery
@@ -468,10 +468,10 @@
 							if newProcess {
 								d.startOutage(c.outage)
 							}
-							b := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(x *Config, s *garnettide.Settings) {
-								x.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
+							b := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(cfg *Config, s *garnettide.Settings) {
+								cfg.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
 								if newProcess { // its first call is made at once, without an earlier revision
-									x.InheritedFD, s.Balancers = minInheritedFD, 1
+									cfg.InheritedFD, s.Balancers = minInheritedFD, 1
 								}
 							})
 							if !newProcess {
@@ -529,19 +529,19 @@
 					var ready atomic.Int32
 					var running, polling sync.WaitGroup
 					for rank := range balancers {
-						x := memBalancerConfig(t, func(x *Config, s *garnettide.Settings) {
-							x.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
+						cfg := memBalancerConfig(t, func(cfg *Config, s *garnettide.Settings) {
+							cfg.Seed, s.Balancers, s.Rank = uint64(rank), balancers, rank
 							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
 						})
-						if x.CachedList = (discoveryList{}); c.hasCachedList {
-							x.CachedList = discoveryList{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
+						if cfg.CachedList = (discoveryList{}); c.hasCachedList {
+							cfg.CachedList = discoveryList{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
 						}
 						if replaced {
-							x.InheritedFD = minInheritedFD
+							cfg.InheritedFD = minInheritedFD
 						}
 						listener, loops := newMemListener(emptyPipe), make(chan *loop, 1)
 						running.Go(func() {
-							if err := run(ctx, x, listener, nil, func(l *loop) {
+							if err := run(ctx, cfg, listener, nil, func(l *loop) {
 								l.discoveryClient.dial = d.dial
 								l.transport.open = func(string, string, time.Duration) (net.Conn, error) { return u.dial(), nil }
 								loops <- l
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -105,7 +105,7 @@
 // and delay other calls.
 func TestUnfinishedAdminCallsDelayNoOthers(t *testing.T) {
 	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
-	var silent []net.Conn
+	var unfinished []net.Conn
 	for i := range 3 * adminConns {
 		c, err := net.Dial("tcp", b.config.Operator)
 		if err != nil {
@@ -115,14 +115,14 @@
 		if i%2 == 0 {
 			io.WriteString(c, "PUT /control/out-of-")
 		}
-		silent = append(silent, c)
+		unfinished = append(unfinished, c)
 	}
 	start := time.Now()
 	want(t, "ready, with unfinished calls open", b.adminCall(t, "GET", "/control/ready"), 200)
 	if took := time.Since(start); took > adminCallTimeout/2 {
 		t.Errorf("the call took %v, want at most half of adminCallTimeout", took)
 	}
-	for _, c := range silent {
+	for _, c := range unfinished {
 		c.SetReadDeadline(time.Now().Add(4 * time.Second))
 		if _, err := io.Copy(io.Discard, c); err != nil { // a response may come before the close
 			if e, ok := err.(net.Error); ok && e.Timeout() {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -139,8 +139,8 @@
 }
 
 // upMember returns the list entry of an active upstream.
-func upMember(id string, s *testUpstream) member {
-	return member{ID: id, HostPort: s.addr, Locality: "z1", Phase: "up", Size: 1}
+func upMember(id string, u *testUpstream) member {
+	return member{ID: id, HostPort: u.addr, Locality: "z1", Phase: "up", Size: 1}
 }
 
 // drainingMember returns m as a draining upstream.
@@ -329,10 +329,10 @@
 	t.Run("before the loop handles the disconnect", func(t *testing.T) {
 		upstream := newTestUpstream(t, respondOK)
 		h := newLoopHarness(t)
-		connecting, release := h.delayConns()
+		dialing, release := h.delayConns()
 		h.setMembers(20, upMember("s-00000001", upstream))
 		r := h.startRequest("read", "1", time.Second)
-		<-connecting
+		<-dialing
 		r.clientGone.Store(true)
 		close(release)
 		h.applyNextEvent()
@@ -633,11 +633,11 @@
 	for _, m := range malformedRequests() {
 		t.Run(m.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
-				close(v.connectGate)
-				v.sendList(50, v.addUpstream(respondOK).member("s-00000001"))
+				b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+				close(b.connectGate)
+				b.sendList(50, b.addUpstream(respondOK).member("s-00000001"))
 				synctest.Wait()
-				conn, start := v.connectClient(), time.Now()
+				conn, start := b.connectClient(), time.Now()
 				go io.WriteString(conn, m.text)
 				got, _ := io.ReadAll(conn)
 				m.checkResponse(t, string(got))
@@ -645,8 +645,8 @@
 					t.Errorf("got a response or a close after %v, want at most 3s", took)
 				}
 				conn.Close()
-				want(t, "requests started at the upstream", v.requestsStarted(), 0)
-				v.expireAndStop()
+				want(t, "requests started at the upstream", b.requestsStarted(), 0)
+				b.expireAndStop()
 			})
 		})
 	}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -124,7 +124,7 @@
 }
 
 // newReloadableBalancer starts a balancer with a configuration modified by set.
-func newReloadableBalancer(t *testing.T, set func(*Config), members ...member) *reloadableBalancer {
+func newReloadableBalancer(t *testing.T, modify func(*Config), members ...member) *reloadableBalancer {
 	t.Helper()
 	r := &reloadableBalancer{configPath: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
 		appliedHashes: make(chan string, 10000), log: &testLog{written: make(chan struct{}, 1)}}
@@ -135,7 +135,7 @@
 			}
 			r.appliedHashes <- hash
 		}
-		set(c)
+		modify(c)
 	}, members...)
 	reloader := NewReloader(r.getenv, r.config)
 	reloader.log = slog.New(slog.NewTextHandler(r.log, nil))
@@ -211,8 +211,8 @@
 // Guards against a SIGHUP that does not apply added and removed classes, tenants, limits and connection time-outs, or does
 // not log what has changed.
 func TestReloadAppliesSettings(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "status of a class before it is added", status, 400)
 	r.reloadWith(t, append(addingClass("parcel"), append(removingCheckin, `"connect_timeout_us":500000`, `"connect_timeout_us":70000`,
@@ -263,37 +263,37 @@
 func TestRemovedClassFinishesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	var received atomic.Int32
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		<-release
 		return received.Add(1) > 1 && respondOK(c, r) // the first connection is closed without a response
 	})
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s), upMember("s-00000002", s))
-	keyed := r.dialClient(t)
-	keyed.send(t, r.newRequest("pay", ""))
-	<-s.received
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream), upMember("s-00000002", upstream))
+	inFlight := r.dialClient(t)
+	inFlight.send(t, r.newRequest("pay", ""))
+	<-upstream.received
 	r.reloadWith(t, `"name":"pay"`, `"name":"other"`, `"give_up_us":4000000`, `"give_up_us":2000000`)
 	status, _ := r.do(t, r.newRequest("pay", ""))
 	want(t, "status of a new request of the removed class", status, 400)
 	close(release)
-	want(t, "status of the request in flight", keyed.readResponse(t).StatusCode, 200)
-	want(t, "its attempts", len(s.received)+1, 2)
+	want(t, "status of the request in flight", inFlight.readResponse(t).StatusCode, 200)
+	want(t, "its attempts", len(upstream.received)+1, 2)
 }
 
 // Guards against a changed deadline applying to requests that are already in flight, or not to later ones.
 func TestReloadKeepsDeadlinesInFlight(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	s := newTestUpstream(t, func(net.Conn, *http.Request) bool { <-release; return false })
+	upstream := newTestUpstream(t, func(net.Conn, *http.Request) bool { <-release; return false })
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s), upMember("s-00000002", s))
-	startRequest := func(name string, budget time.Duration) *request {
-		r := h.startRequest("checkin", name, budget)
-		for limit := time.Now().Add(10 * time.Second); len(s.received) == 0; h.fireTimers() {
+	h.setMembers(20, upMember("s-00000001", upstream), upMember("s-00000002", upstream))
+	startRequest := func(id string, budget time.Duration) *request {
+		r := h.startRequest("checkin", id, budget)
+		for limit := time.Now().Add(10 * time.Second); len(upstream.received) == 0; h.fireTimers() {
 			if time.Now().After(limit) {
-				t.Fatal("request " + name + " was not sent")
+				t.Fatal("request " + id + " was not sent")
 			}
 		}
-		<-s.received
+		<-upstream.received
 		return r
 	}
 	before := startRequest("1", 4*time.Second)
@@ -314,7 +314,7 @@
 
 // Guards against a wrong response, a wrong number of attempts or leftover state for a request whose head is read before a
 // reload, and whose body arrives after it.
-func TestReloadBetweenReadAndDispatch(t *testing.T) {
+func TestReloadBetweenHeadAndBody(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		replacements []string
@@ -329,15 +329,15 @@
 			`"name":"checkin","target_us":1000,"give_up_us":1000`}, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestUpstream(t, func(net.Conn, *http.Request) bool { return false }) // closes without a response
-			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s), upMember("s-00000002", s))
-			raw := r.dialClient(t)
-			io.WriteString(raw, checkinRequest("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
-			want(t, "status before the body", raw.readResponse(t).StatusCode, 100)
+			upstream := newTestUpstream(t, func(net.Conn, *http.Request) bool { return false }) // closes without a response
+			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream), upMember("s-00000002", upstream))
+			client := r.dialClient(t)
+			io.WriteString(client, checkinRequest("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
+			want(t, "status before the body", client.readResponse(t).StatusCode, 100)
 			r.reloadWith(t, append([]string{`"az":"z1"`, `"az":"z2"`}, c.replacements...)...)
-			io.WriteString(raw, "body")
-			want(t, "status", raw.readResponse(t).StatusCode, c.status)
-			want(t, "attempts", len(s.received), c.attempts)
+			io.WriteString(client, "body")
+			want(t, "status", client.readResponse(t).StatusCode, c.status)
+			want(t, "attempts", len(upstream.received), c.attempts)
 			r.checkOnLoop(func(l *loop) bool { want(t, "requests left", len(l.requests)+len(l.openIDs), 0); return true })
 		})
 	}
@@ -346,8 +346,8 @@
 // Guards against an invalid or unreadable file changing anything, and against a log line that does not name the file and the
 // error.
 func TestInvalidReloadChangesNothing(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 	r.reloadWith(t, addingClass("parcel")...)
 	currentPlan := func() (p *garnettide.Plan) {
 		r.checkOnLoop(func(l *loop) bool { p = l.balancer.Plan(); return true })
@@ -415,8 +415,8 @@
 
 // Guards against applying settings that need a restart, or ignoring them without a warning. The rest of the file applies.
 func TestReloadLogsSettingsThatNeedRestart(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 	r.reloadWith(t)
 	want(t, "warnings when nothing differs", r.log.count("next start"), 0)
 	text := configTextWith(t, r.config.Discovery, nil, addingClass("parcel")...)
@@ -442,8 +442,8 @@
 // Guards against applying part of a file, an outdated file after a newer one, or not the newest, when files and signals arrive
 // faster than reloads are applied.
 func TestReloadBurstAppliesNewestFile(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 	replacementsFor := func(i int) []string { // enough for many slices; class names and quotas identify the file
 		var list strings.Builder
 		for k := range 5000 {
@@ -471,9 +471,9 @@
 	want(t, "first file in force", hashes[r.nextAppliedHash(t)], 1)
 	want(t, "next file in force", hashes[r.nextAppliedHash(t)], 6)
 	r.log.waitForLine(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
-	for i, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
-		got, _ := r.do(t, r.newRequest(i, "", "X-Tenant", "last"))
-		want(t, i, got, status)
+	for class, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
+		got, _ := r.do(t, r.newRequest(class, "", "X-Tenant", "last"))
+		want(t, class, got, status)
 	}
 	// Many files and signals in quick succession.
 	last := ""
@@ -501,8 +501,8 @@
 // Guards against losing a reload, or not reading the newest file after it, when files and signals arrive while the loop is
 // blocked.
 func TestReloadsWhileLoopIsBlocked(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 	blocked, release := make(chan struct{}), make(chan struct{})
 	go r.checkOnLoop(func(*loop) bool { close(blocked); <-release; return true })
 	<-blocked
@@ -535,16 +535,16 @@
 	for _, stopFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) {
 			release := make(chan struct{})
-			s := newTestUpstream(t, func(c net.Conn, q *http.Request) bool {
+			upstream := newTestUpstream(t, func(c net.Conn, q *http.Request) bool {
 				if strings.HasPrefix(q.URL.Path, "/checkin") {
 					<-release
 				}
 				return respondOK(c, q)
 			})
-			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", s))
+			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 			inFlight := r.dialClient(t)
 			inFlight.send(t, r.newRequest("checkin", ""))
-			<-s.received
+			<-upstream.received
 			late := r.dialClient(t) // the shutdown waits for its request, which has begun
 			io.WriteString(late, "POST /parcel")
 			if stopFirst {
@@ -567,37 +567,40 @@
 
 // Guards against a file that changes both the settings and the address of discovery being applied in part.
 func TestReloadChangesSettingsAndDiscovery(t *testing.T) {
-	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
-	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", one))
+	oldUpstream, newUpstream := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", oldUpstream))
 	<-r.discovery.calls
-	next := newManualDiscovery(t)
-	r.signalAndWait(t, r.writeConfigText(t, configTextWith(t, next.addr, nil, addingClass("parcel")...)))
-	want(t, "query of the first call to the new discovery", <-next.calls, "")
-	next.responses <- discoveryList{Revision: 3, Complete: true, Members: []member{upMember("s-00000002", two)}}
-	want(t, "query of the next call", withoutTimeout(<-next.calls), "since=3")
+	newDiscovery := newManualDiscovery(t)
+	r.signalAndWait(t, r.writeConfigText(t, configTextWith(t, newDiscovery.addr, nil, addingClass("parcel")...)))
+	want(t, "query of the first call to the new discovery", <-newDiscovery.calls, "")
+	newDiscovery.responses <- discoveryList{Revision: 3, Complete: true, Members: []member{upMember("s-00000002", newUpstream)}}
+	want(t, "query of the next call", withoutTimeout(<-newDiscovery.calls), "since=3")
 	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "status of the added class", status, 200)
-	want(t, "requests to the upstream of the old list", len(one.received), 0)
-	want(t, "requests to the upstream of the new list", len(two.received), 1)
+	want(t, "requests to the upstream of the old list", len(oldUpstream.received), 0)
+	want(t, "requests to the upstream of the new list", len(newUpstream.received), 1)
 	// An invalid file does not change the address.
 	r.writeConfigText(t, strings.Replace(configTextWith(t, r.config.Discovery, nil, addingClass("letter")...), `"balancers":1`, `"balancers":0`, 1))
 	r.hangups <- syscall.SIGHUP
 	r.log.waitForLine(t, "the old one stays")
-	r.checkOnLoop(func(l *loop) bool { want(t, "address of discovery", l.discoveryClient.address, next.addr); return true })
+	r.checkOnLoop(func(l *loop) bool {
+		want(t, "address of discovery", l.discoveryClient.address, newDiscovery.addr)
+		return true
+	})
 }
 
 // Guards against the first request after a list and a reload that arrive together, in both orders, using only one of them.
 func TestSimultaneousListAndReload(t *testing.T) {
 	for _, listFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("list first ", listFirst), func(t *testing.T) {
-			one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
-			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", one))
+			oldUpstream, newUpstream := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", oldUpstream))
 			<-r.discovery.calls
 			blocked, release := make(chan struct{}), make(chan struct{})
 			go r.checkOnLoop(func(*loop) bool { close(blocked); <-release; return true })
 			<-blocked // both wait for the loop
 			answerWithList := func() {
-				r.discovery.responses <- discoveryList{Revision: 12, Complete: true, Members: []member{upMember("s-00000002", two)}}
+				r.discovery.responses <- discoveryList{Revision: 12, Complete: true, Members: []member{upMember("s-00000002", newUpstream)}}
 				r.waitUntil(t, "list queued", func() bool { return len(r.loop.listUpdates) == 1 })
 			}
 			if listFirst {
@@ -613,8 +616,8 @@
 			want(t, "hash in force", r.nextAppliedHash(t), hash)
 			status, _ := r.do(t, r.newRequest("parcel", ""))
 			want(t, "status of the added class", status, 200)
-			want(t, "requests to the removed upstream", len(one.received), 0)
-			want(t, "requests to the added upstream", len(two.received), 1)
+			want(t, "requests to the removed upstream", len(oldUpstream.received), 0)
+			want(t, "requests to the added upstream", len(newUpstream.received), 1)
 		})
 	}
 }
@@ -628,13 +631,13 @@
 	}
 	defer l.Close()
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/checkin") {
 			<-release
 		}
 		return respondOK(c, r)
 	})
-	members, dir := []member{upMember("s-00000001", s)}, t.TempDir()
+	members, dir := []member{upMember("s-00000001", upstream)}, t.TempDir()
 	startProcess := func() *reloadableBalancer {
 		admin := freeAddress(t)
 		r := newReloadableBalancer(t, func(c *Config) {
@@ -649,7 +652,7 @@
 	older.waitUntil(t, "ready", func() bool { return older.adminCall(t, "GET", "/control/ready") == 200 })
 	inFlight := older.dialClient(t)
 	inFlight.send(t, older.newRequest("checkin", ""))
-	<-s.received
+	<-upstream.received
 	newer := startProcess()
 	<-newer.discovery.calls
 	newer.reloadWith(t, append(addingClass("parcel"), removingCheckin...)...) // before it is ready
@@ -697,8 +700,8 @@
 	l.start(&c, nil)
 	l.Watch(false)
 	l.applyList(garnettide.ListFull, discoveryList{})
-	r := NewReloader(getenv, c)
-	r.log = slog.New(slog.DiscardHandler)
+	reloader := NewReloader(getenv, c)
+	reloader.log = slog.New(slog.DiscardHandler)
 	c = Config{}
 	liveBytes := func() uint64 {
 		runtime.GC()
@@ -710,7 +713,7 @@
 	early, late := uint64(math.MaxUint64), uint64(math.MaxUint64)
 	for i := 1; i <= 1000; i++ {
 		write(i)
-		x, err := r.read(nil)
+		x, err := reloader.read(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -740,7 +743,7 @@
 	if late > early+early/20 {
 		t.Errorf("got %d bytes of live heap after 900 to 1,000 reloads, want about the %d after 10 to 110", late, early)
 	}
-	runtime.KeepAlive(r)
+	runtime.KeepAlive(reloader)
 }
 
 // Guards against decoding much of a configuration without a pause, whatever the file contains: the loop runs in the pauses.
@@ -785,10 +788,10 @@
 func TestWorkSlicerPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var pauses []time.Duration
-		s := &workSlicer{sliceStart: time.Now(), pause: func(d time.Duration) { pauses = append(pauses, d) }}
+		slicer := &workSlicer{sliceStart: time.Now(), pause: func(d time.Duration) { pauses = append(pauses, d) }}
 		for range 100 * stepsPerTimeCheck {
 			time.Sleep(reloadSlice / 50) // simulates work
-			s.step()
+			slicer.step()
 		}
 		total := time.Duration(0)
 		for _, d := range pauses {
@@ -917,9 +920,9 @@
 			go l.run()
 			hangups, reloads, inForce := make(chan os.Signal, 1), make(chan Reload), make(chan time.Duration, 1)
 			c.OnConfigApplied = func(_ string, took time.Duration) { inForce <- took }
-			r := NewReloader(getenv, c)
+			reloader := NewReloader(getenv, c)
 			c = Config{}
-			go r.Follow(b.Context(), hangups, reloads)
+			go reloader.Follow(b.Context(), hangups, reloads)
 			go func() {
 				for {
 					select {
@@ -936,7 +939,7 @@
 			}
 			defer listener.Close()
 			var phase atomic.Uint32
-			end := make(chan struct{})
+			stopEchoes := make(chan struct{})
 			go func() {
 				c, err := listener.Accept()
 				if err != nil {
@@ -951,7 +954,7 @@
 					l.post(t)
 					<-t
 					select {
-					case <-end:
+					case <-stopEchoes:
 						return
 					default:
 					}
@@ -991,7 +994,7 @@
 				}
 				work += end - begin
 			}
-			close(end)
+			close(stopEchoes)
 			if err := client.Wait(); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -84,15 +84,15 @@
 // clock keeps deadlines from expiring on a busy machine.
 func TestLargeBodiesPassUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
-		close(v.connectGate)
-		u := v.addUpstream(respondOK)
+		b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
+		close(b.connectGate)
+		u := b.addUpstream(respondOK)
 		u.serve = echoBodies
-		v.sendList(50, u.member("s-00000001"))
+		b.sendList(50, u.member("s-00000001"))
 		synctest.Wait()
-		memoryBefore := v.memory.available.Load()
+		memoryBefore := b.memory.available.Load()
 		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
-			return v.connectClient(), nil
+			return b.connectClient(), nil
 		}}}
 		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
 			for _, chunked := range []string{"", "1"} {
@@ -120,9 +120,9 @@
 			}
 		}
 		synctest.Wait()
-		want(t, "free body memory at the end", v.memory.available.Load(), memoryBefore)
+		want(t, "free body memory at the end", b.memory.available.Load(), memoryBefore)
 		client.CloseIdleConnections()
-		v.expireAndStop()
+		b.expireAndStop()
 	})
 }
 
@@ -215,9 +215,9 @@
 			return framing != "end"
 		})
 		b := startBalancer(t, upMember("s-00000001", upstream))
-		l := b.dialClient(t)
-		l.send(t, b.newRequest("checkin", "", "X-Deadline-Ms", "300"))
-		resp, err := http.ReadResponse(l.reader, nil)
+		client := b.dialClient(t)
+		client.send(t, b.newRequest("checkin", "", "X-Deadline-Ms", "300"))
+		resp, err := http.ReadResponse(client.reader, nil)
 		if err != nil {
 			t.Fatalf("%s: %v", framing, err)
 		}
--- a/internal/proxy/watcher_test.go
+++ b/internal/proxy/watcher_test.go
@@ -30,8 +30,8 @@
 				if c.readFailed {
 					w.readDone <- errRequestTooLarge
 				}
-				if a, err := w.awaitResponse(); !errors.Is(err, c.wantErr) || (err == nil && a.status != c.status) {
-					t.Fatalf("got status %d and error %v", a.status, err)
+				if resp, err := w.awaitResponse(); !errors.Is(err, c.wantErr) || (err == nil && resp.status != c.status) {
+					t.Fatalf("got status %d and error %v", resp.status, err)
 				}
 			}
 		})
