--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -75,8 +75,8 @@
 		}
 	}()
 	h := newLoopHarness(t)
-	const ids = 2000
-	for i := range ids {
+	const upstreamCount = 2000
+	for i := range upstreamCount {
 		h.setMembers(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), upstream))
 		requestID := fmt.Sprintf("%016x", i)
 		resp := h.roundTrip(requestID, 4*time.Second)
@@ -84,7 +84,7 @@
 			t.Fatalf("request %d: got %d, %q", i, resp.status, resp.body)
 		}
 	}
-	want(t, "connections opened", upstream.connsOpened(), ids)
+	want(t, "connections opened", upstream.connsOpened(), upstreamCount)
 	want(t, "upstreams", len(h.upstreams), 1)
 	want(t, "assigned upstream numbers", len(h.upstreamIDs.ids), 1)
 	want(t, "taken upstream numbers", len(h.upstreamIDs.taken), 1)
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -452,15 +452,15 @@
 		fmt.Fprintf(&list, `{"name":"last","quota_rps":%d}`, i)
 		return append(addingClass(fmt.Sprint("class", i)), `"reporting"`, `"tenants":[`+list.String()+`],"reporting"`)
 	}
-	hashes := map[string]int{}
+	fileNumbers := map[string]int{}
 	paused, resume := make(chan struct{}), make(chan struct{})
 	pauseHook := func(time.Duration) { paused <- struct{}{}; <-resume }
 	r.pauseHook.Store(&pauseHook)
-	hashes[r.writeConfig(t, replacementsFor(1)...)] = 1
+	fileNumbers[r.writeConfig(t, replacementsFor(1)...)] = 1
 	r.hangups <- syscall.SIGHUP
 	<-paused // part of it has been built
 	for i := 2; i <= 6; i++ {
-		hashes[r.writeConfig(t, replacementsFor(i)...)] = i
+		fileNumbers[r.writeConfig(t, replacementsFor(i)...)] = i
 		select {
 		case r.hangups <- syscall.SIGHUP:
 		default: // one is pending already, as with signal.Notify
@@ -468,8 +468,8 @@
 	}
 	r.pauseHook.Store(nil)
 	close(resume)
-	want(t, "first file in force", hashes[r.nextAppliedHash(t)], 1)
-	want(t, "next file in force", hashes[r.nextAppliedHash(t)], 6)
+	want(t, "first file in force", fileNumbers[r.nextAppliedHash(t)], 1)
+	want(t, "next file in force", fileNumbers[r.nextAppliedHash(t)], 6)
 	r.log.waitForLine(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
 	for class, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
 		got, _ := r.do(t, r.newRequest(class, "", "X-Tenant", "last"))
@@ -479,7 +479,7 @@
 	last := ""
 	for i := 7; i < 40; i++ {
 		last = r.writeConfig(t, replacementsFor(i)...)
-		hashes[last] = i
+		fileNumbers[last] = i
 		select {
 		case r.hangups <- syscall.SIGHUP:
 		default:
@@ -487,10 +487,10 @@
 	}
 	for newest := 6; ; {
 		hash := r.nextAppliedHash(t)
-		if hashes[hash] < newest { // equal: the signal arrived after its file had been read
-			t.Errorf("file %d is in force after file %d", hashes[hash], newest)
+		if fileNumbers[hash] < newest { // equal: the signal arrived after its file had been read
+			t.Errorf("file %d is in force after file %d", fileNumbers[hash], newest)
 		}
-		if newest = hashes[hash]; hash == last {
+		if newest = fileNumbers[hash]; hash == last {
 			break
 		}
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -431,7 +431,7 @@
 
 // TestSlowClientIsServedUnderConnectionPressure guards against evicting a client that sends its request slowly while
 // idle and silent connections fill the limit.
-func TestSlowClientIsServedUnderConnectionPressure(t *testing.T) {
+func TestSlowClientIsServedAtConnLimit(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancerWith(t, func(c *Config) { c.Sockets = 64 }, upMember("s-00000001", upstream))
