--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -77,7 +77,8 @@
 // TestInvalidConfigErrors guards against accepting invalid configurations, and against errors that do not name the
 // cause.
 func TestInvalidConfigErrors(t *testing.T) {
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+	if _, err := LoadConfig(func(string) string { return "" }); err == nil ||
+		!strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v, want an error that names RELAY_CONFIG", err)
 	}
 	for _, tt := range []struct{ old, new, errText string }{
@@ -93,7 +94,8 @@
 		{`"phase":"up"`, `"phase":"odd"`, "odd"},
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
-		if _, err := loadTestConfig(t, strings.Replace(configText, tt.old, tt.new, 1), nil); err == nil || !strings.Contains(err.Error(), tt.errText) {
+		if _, err := loadTestConfig(t, strings.Replace(configText, tt.old, tt.new, 1), nil); err == nil ||
+			!strings.Contains(err.Error(), tt.errText) {
 			t.Errorf("%s: got %v, want an error that names %s", tt.new, err, tt.errText)
 		}
 	}
@@ -107,7 +109,8 @@
 	other := ids.id("5be2a07c.example")
 	want(t, "ID of another form", other, hashText("5be2a07c.example"))
 	seen := map[garnettide.UpstreamID]string{}
-	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // the first three have equal values
+	// The first three have equal values.
+	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} {
 		id := ids.id(text)
 		if seen[id] != "" {
 			t.Errorf("%q and %q have the same number", text, seen[id])
@@ -134,7 +137,8 @@
 
 // TestParseLoad guards against accepting malformed or implausible load reports, even in part.
 func TestParseLoad(t *testing.T) {
-	fullReport := garnettide.Load{Fields: garnettide.HasErrorRate | garnettide.HasUtil | garnettide.HasServiceTime, ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
+	fullReport := garnettide.Load{Fields: garnettide.HasErrorRate | garnettide.HasUtil | garnettide.HasServiceTime,
+		ErrorRate: 0.5, Util: 0.61, ServiceTime: 14.5}
 	for _, tt := range []struct {
 		name    string
 		reports []string
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -18,12 +18,12 @@
 	"time"
 )
 
-// changeGracePeriod is how long after a silent watch call's time-out a balancer may still be unaware of a change that it
-// missed.
+// changeGracePeriod is how long after the timeout of a silent watch call a balancer may still lack a change that
+// the call missed.
 const changeGracePeriod = 2 * time.Second
 
-// watchUntilSilent watches a discovery server that sends answer to each call and then nothing. It returns the time-out of
-// the call, the update that was posted, and after how long.
+// watchUntilSilent watches a discovery server that sends answer to each call and then nothing. It returns the
+// timeout of the call, the update that was posted, and after how long.
 func watchUntilSilent(t *testing.T, answer string) (wait time.Duration, update listUpdate, took time.Duration) {
 	updates, waits := make(chan listUpdate, 1), make(chan time.Duration, 1)
 	d := newDiscoveryClient(t.Context(), "127.0.0.1:8500", func(update listUpdate) { updates <- update })
@@ -47,27 +47,31 @@
 	return <-waits, update, time.Since(start)
 }
 
-// Guards against using part of a list that is malformed, truncated or too long, and against taking a list without members
-// for the removal of all upstreams.
+// TestMalformedListsAreFailedCalls guards against using part of a list that is malformed, truncated or too
+// long, and against taking a list without members for the removal of all upstreams.
 func TestMalformedListsAreFailedCalls(t *testing.T) {
 	const one = `{"id":"s-00000001","host_port":"127.0.0.1:1","phase":"up"}`
 	for name, c := range map[string]struct {
 		text string
 		ok   bool
 	}{
-		"whole":          {`{"revision":11,"complete":true,"members":[` + one + `]}`, true},
-		"indented":       {"{\n  \"revision\": 11,\n  \"complete\": true,\n  \"members\": [\n    " + one + "\n  ]\n}\n", true},
+		"whole": {`{"revision":11,"complete":true,"members":[` + one + `]}`, true},
+		"indented": {"{\n  \"revision\": 11,\n  \"complete\": true,\n  \"members\": [\n    " + one + "\n  ]\n}\n",
+			true},
 		"empty":          {`{"revision":11,"complete":true,"members":[]}`, true},
 		"no members":     {`{"revision":11,"complete":true}`, false},
 		"null members":   {`{"revision":11,"complete":true,"members":null}`, false},
 		"truncated":      {`{"revision":11,"complete":true,"members":[` + one + `,`, false},
 		"invalid entry":  {`{"revision":11,"complete":true,"members":[` + one + `,{"id":"s-2","phase":"up"}]}`, false},
 		"trailing bytes": {`{"revision":11,"complete":true,"members":[` + one + `]}]`, false},
-		"too long":       {`{"revision":11,"complete":true,"members":[` + one + strings.Repeat(" ", maxListBytes), false},
-		"not an object":  {`[]`, false},
+		"too long": {`{"revision":11,"complete":true,"members":[` + one + strings.Repeat(" ", maxListBytes),
+			false},
+		"not an object": {`[]`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, c.text) }))
+			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				io.WriteString(w, c.text)
+			}))
 			defer s.Close()
 			d := newDiscoveryClient(t.Context(), s.Listener.Addr().String(), nil)
 			defer d.shutdown()
@@ -77,8 +81,8 @@
 	}
 }
 
-// Guards against detecting a silent watch, with no answer or with half of one, too late to get the missed changes in time
-// with a new call.
+// TestSilentWatchIsDetectedInTime guards against detecting a silent watch, with no answer or with half of
+// one, too late to get the missed changes in time with a new call.
 func TestSilentWatchIsDetectedInTime(t *testing.T) {
 	for name, answer := range map[string]string{
 		"no answer":      "",
@@ -88,15 +92,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				wait, update, took := watchUntilSilent(t, answer)
 				if !errors.Is(update.err, errWatchSilent) || took < wait || took > wait+changeGracePeriod/2 {
-					t.Errorf("got %v after %v, want a silent watch well before %v", update.err, took, wait+changeGracePeriod)
+					t.Errorf("got %v after %v, want errWatchSilent after the timeout and well before %v", update.err,
+						took, wait+changeGracePeriod)
 				}
 			})
 		})
 	}
 }
 
-// Guards against watches that were opened at the same time being reopened at the same time after they go silent: discovery
-// answers calls one at a time, so the last ones would be answered too late.
+// TestSilentWatchesAreDetectedAtDifferentTimes guards against watches that were opened at the same time being
+// reopened at the same time after they go silent: discovery answers calls one at a time, so the last ones
+// would be answered too late.
 func TestSilentWatchesAreDetectedAtDifferentTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var detected []time.Duration
@@ -106,13 +112,13 @@
 		}
 		slices.Sort(detected)
 		if spread := detected[len(detected)-1] - detected[0]; spread < discoveryWatchTimeout/5 {
-			t.Errorf("all were detected within %v, want a wider spread", spread)
+			t.Errorf("all were detected within %v, want them a fifth of discoveryWatchTimeout or more apart", spread)
 		}
 	})
 }
 
-// Guards against exceeding the smallest limits of memory and descriptors with 1,024 servers and as many balancers, with
-// complete and incremental lists.
+// TestThousandUpstreamsAndBalancers guards against exceeding small limits of memory and descriptors, and
+// against lost changes of the list, with 1,024 upstreams and as many balancers.
 func TestThousandUpstreamsAndBalancers(t *testing.T) {
 	const fleetSize = 1024
 	upstream := newTestUpstream(t, respondOK)
@@ -144,8 +150,8 @@
 				usable++
 			}
 		}
-		want(t, "servers", len(l.upstreams), fleetSize)
-		want(t, "servers in use", usable, fleetSize/2)
+		want(t, "upstreams", len(l.upstreams), fleetSize)
+		want(t, "upstreams in use", usable, fleetSize/2)
 		return true
 	})
 	var m runtime.MemStats
--- a/internal/proxy/handover_test.go
+++ b/internal/proxy/handover_test.go
@@ -29,8 +29,8 @@
 	return fd
 }
 
-// Guards against accepting an inherited descriptor that is not a listening TCP socket, and against closing the socket of
-// other processes with this one's listener.
+// TestInheritedDescriptorMustListen guards against accepting an inherited descriptor that is not a listening
+// TCP socket, and against closing the socket of other processes with this one's listener.
 func TestInheritedDescriptorMustListen(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +58,8 @@
 	}
 	for what, fd := range map[string]int{"connection": duplicateDescriptor(t, c.(*net.TCPConn)), "file": plainFD,
 		"packet socket": duplicateDescriptor(t, packets.(*net.UDPConn)), "closed descriptor": 1 << 20} {
-		if l, err := Listen(&Config{InheritedFD: fd}); err == nil || !strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
+		if l, err := Listen(&Config{InheritedFD: fd}); err == nil ||
+			!strings.Contains(err.Error(), "RELAY_INHERITED_FD") {
 			t.Errorf("%s: got listener %v and error %v, want an error naming RELAY_INHERITED_FD", what, l, err)
 		}
 	}
@@ -79,6 +80,7 @@
 	again.Close()
 }
 
+// openTestStateFile opens the state file of balancer n/0 in dir, for a process that others may run beside.
 func openTestStateFile(t *testing.T, dir string) *stateFile {
 	t.Helper()
 	state, err := openStateFile(&Config{Name: "n/0", StateDir: dir, InheritedFD: 4})
@@ -89,10 +91,11 @@
 	return state
 }
 
-// Guards against a state file with invalid content preventing the start or the storing of later orders.
+// TestInvalidStateFileDoesNotPreventStart guards against a state file with invalid content preventing the
+// start or the storing of later orders.
 func TestInvalidStateFileDoesNotPreventStart(t *testing.T) {
-	for what, text := range map[string]string{"empty": "", "truncated": `{"out_of_service":true,"offl`, "not JSON": "\x00\xff",
-		"wrong type": `{"offline":{"s-1":true}}`, "too long": strings.Repeat("[", maxOrdersBytes+10)} {
+	for what, text := range map[string]string{"empty": "", "truncated": `{"out_of_service":true,"offl`,
+		"not JSON": "\x00\xff", "wrong type": `{"offline":{"s-1":true}}`, "too long": strings.Repeat("[", maxOrdersBytes+10)} {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "olivearch-n%2F0.json"), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -100,7 +103,9 @@
 		state := openTestStateFile(t, dir)
 		want(t, what+": out of service", state.current.Load().OutOfService, false)
 		want(t, what+": upstreams offline", len(state.current.Load().Offline), 0)
-		if err := state.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, "s-1") }); err != nil {
+		if err := state.update(t.Context(), func(o *operatorOrders) {
+			o.Offline = append(o.Offline, "s-1")
+		}); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 		if o, _, err := state.read(); err != nil || len(o.Offline) != 1 || o.OutOfService {
@@ -109,8 +114,8 @@
 	}
 }
 
-// Guards against overlapping processes of one balancer that do not detect each other, miss orders stored by the other one
-// or overwrite them.
+// TestProcessesShareOrders guards against overlapping processes of one balancer that do not detect each
+// other, miss orders stored by the other one or overwrite them.
 func TestProcessesShareOrders(t *testing.T) {
 	dir := t.TempDir()
 	older := openTestStateFile(t, dir)
@@ -122,7 +127,9 @@
 		state *stateFile
 		id    string
 	}{{older, "s-1"}, {newer, "s-2"}} {
-		if err := x.state.update(t.Context(), func(o *operatorOrders) { o.Offline = append(o.Offline, x.id) }); err != nil {
+		if err := x.state.update(t.Context(), func(o *operatorOrders) {
+			o.Offline = append(o.Offline, x.id)
+		}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -144,11 +151,11 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	if err := older.update(ctx, func(*operatorOrders) {}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("update with the lock held: got %v, want a time-out", err)
+		t.Errorf("update with the lock held: got %v, want a timeout", err)
 	}
 }
 
-// Guards against an order undoing a later one that the loop applies before it.
+// TestConcurrentOrdersBothApply guards against an order undoing a later one that the loop applies before it.
 func TestConcurrentOrdersBothApply(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
@@ -183,7 +190,8 @@
 	want(t, "draining", admin.front.closeAfterResponse(), true)
 }
 
-// startSuccessor starts another process of b that shares its listening socket. Its discovery has not answered yet.
+// startProcess starts a balancer in place of another process of b: it shares b's state directory and the listening
+// socket l. Its discovery has not answered yet. b itself need not be running.
 func (b *testBalancer) startProcess(t *testing.T, l net.Listener, members ...member) *testBalancer {
 	t.Helper()
 	admin := freeAddress(t)
@@ -194,8 +202,8 @@
 	return process
 }
 
-// Guards against refused or reset connections, unanswered requests and orders that apply to only one of the two processes
-// during a handover under load.
+// TestHandoverLosesNoRequest guards against refused or reset connections, unanswered requests and orders that
+// apply to only one of the two processes during a handover under load.
 func TestHandoverLosesNoRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -226,11 +234,13 @@
 	inFlight.send(t, older.newRequest("checkin", "", "X-Hold", "1"))
 	older.waitUntil(t, "request received by the upstream", held.Load)
 	newer := older.startProcess(t, l, members...)
-	newer.waitUntil(t, "not ready without a list", func() bool { return newer.adminCall(t, "GET", "/control/ready") == 503 })
+	newer.waitUntil(t, "not ready without a list", func() bool {
+		return newer.adminCall(t, "GET", "/control/ready") == 503
+	})
 	want(t, "query of its first call, for the whole list", <-newer.discovery.calls, "")
 	newer.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
-	newer.waitUntil(t, "new process ready", func() bool { return newer.adminCall(t, "GET", "/control/ready") == 200 })
-	// While both accept connections, an order to the new one applies to both once the call has succeeded.
+	newer.waitUntil(t, "newer process ready", func() bool { return newer.adminCall(t, "GET", "/control/ready") == 200 })
+	// While both accept connections, an order to the newer one applies to both once the call has succeeded.
 	want(t, "status of out-of-service", newer.adminCall(t, "PUT", "/control/out-of-service"), 200)
 	for range 20 {
 		want(t, "health during the drain", older.healthStatus(t), 503)
@@ -246,19 +256,19 @@
 	idle.send(t, older.newRequest("read", ""))
 	resp := idle.readResponse(t)
 	want(t, "status on an idle connection", resp.StatusCode, 200)
-	for range 50 { // until the old process has closed its connections, and longer
+	for range 50 { // until the older process has closed its connections, and longer
 		c := newer.dialClient(t)
 		c.send(t, newer.newRequest("read", ""))
 		want(t, "status on a new connection", c.readResponse(t).StatusCode, 200)
 	}
 	close(hold)
 	resp = inFlight.readResponse(t)
-	want(t, "status of the old process's request in flight", resp.StatusCode, 200)
+	want(t, "status of the older process's request in flight", resp.StatusCode, 200)
 	if err := <-older.runResult; err != nil {
 		t.Error(err)
 	}
 	older.runResult <- nil
-	want(t, "health of the new process", newer.healthStatus(t), 200)
+	want(t, "health of the newer process", newer.healthStatus(t), 200)
 	select {
 	case r := <-offline.received:
 		t.Errorf("a request was sent to an upstream in maintenance: %s", r.URL)
@@ -271,8 +281,8 @@
 	})
 }
 
-// Guards against a new process that forgets that the balancer was out of service, is not ready because of it, or does not
-// shut down.
+// TestDrainSurvivesRestart guards against a new process that forgets that the balancer was out of service, is
+// not ready because of it, or does not shut down.
 func TestDrainSurvivesRestart(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -283,14 +293,16 @@
 	members := []member{upMember("s-00000001", upstream)}
 	unstarted := &testBalancer{config: Config{StateDir: t.TempDir()}}
 	if err := os.WriteFile(filepath.Join(unstarted.config.StateDir, "olivearch-n0.json"),
-		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"unknown fields are ignored"}`), 0o600); err != nil {
+		[]byte(`{"out_of_service":true,"offline":["s-0000000f"],"later":"unknown fields are ignored"}`),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
 	b := unstarted.startProcess(t, l, members...)
 	b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: members}
 	b.waitUntil(t, "ready", func() bool { return b.adminCall(t, "GET", "/control/ready") == 200 })
 	want(t, "health", b.healthStatus(t), 503)
-	want(t, "status of online for an unlisted upstream", b.adminCall(t, "PUT", "/control/upstreams/s-0000000f/online"), 200)
+	want(t, "status of online for an unlisted upstream", b.adminCall(t, "PUT", "/control/upstreams/s-0000000f/online"),
+		200)
 	c := b.dialClient(t)
 	c.send(t, b.newRequest("read", ""))
 	resp := c.readResponse(t)
--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -19,6 +19,8 @@
 	plan *garnettide.Plan
 }
 
+// newLoopHarness returns a loop with the settings of settingsText, without upstreams and without a watch of
+// discovery.
 func newLoopHarness(t *testing.T) *loopHarness {
 	t.Helper()
 	c, err := loadTestConfig(t, configText, nil)
@@ -34,7 +36,8 @@
 
 // setMembers applies a complete list from discovery.
 func (h *loopHarness) setMembers(revision uint64, members ...member) {
-	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
+	h.applyListUpdate(listUpdate{from: h.discoveryClient,
+		discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
 }
 
 // roundTrip sends a request, and applies events until it is answered and its attempts have ended.
@@ -57,6 +60,7 @@
 	return <-r.responseCh
 }
 
+// hasAttemptsInFlight reports whether an attempt to any upstream has not ended.
 func (h *loopHarness) hasAttemptsInFlight() bool {
 	for _, u := range h.upstreams {
 		if len(u.inFlight) > 0 {
@@ -66,10 +70,13 @@
 	return false
 }
 
-// Guards against state that the loop keeps for removed upstreams and finished requests, and against using a connection of a
-// removed upstream for one with another id at the same address.
+// TestUpstreamTurnoverLeavesNoState guards against state that the loop keeps for removed upstreams and
+// finished requests, and against using a connection of a removed upstream for one with another ID at the same
+// address.
 func TestUpstreamTurnoverLeavesNoState(t *testing.T) {
-	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, r.Header.Get("X-Request-Id")) })
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		return writeOK(c, r.Header.Get("X-Request-Id"))
+	})
 	go func() {
 		for range upstream.received {
 		}
@@ -97,12 +104,13 @@
 		t.Errorf("%d timers are left, want at most 5", n)
 	}
 	h.setMembers(90000, drainingMember(upMember("s-0fffffff", upstream)))
-	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
+	h.applyListUpdate(listUpdate{from: h.discoveryClient,
+		discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
 	want(t, "upstream numbers after the removal of an unlisted one", len(h.upstreamIDs.ids), 1)
 }
 
-// Guards against refusing an attempt at the connection limit while a connection to any upstream is idle: the one that has
-// been idle longest has to be closed.
+// TestIdleConnectionIsClosedAtConnLimit guards against failing an attempt, or exceeding the connection limit,
+// while a connection to another upstream is idle: that one has to be closed.
 func TestIdleConnectionIsClosedAtConnLimit(t *testing.T) {
 	first, second := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
@@ -119,8 +127,8 @@
 	}
 }
 
-// Guards against taking a duplicate response that arrives late, in a segment of its own, for the response to the next
-// request.
+// TestLateDuplicateResponseIsDiscarded guards against taking a duplicate response that arrives late, in a
+// segment of its own, for the response to the next request.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
 	duplicated := make(chan struct{}, 2)
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
@@ -140,7 +148,8 @@
 	want(t, "connections opened", upstream.connsOpened(), 2)
 }
 
-// Guards against reusing a connection before connReuseDelay, and against not reusing it afterwards.
+// TestConnReuseDelay guards against reusing a connection before connReuseDelay, and against not reusing it
+// afterwards.
 func TestConnReuseDelay(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
@@ -154,8 +163,8 @@
 	want(t, "used after the delay", c != nil, true)
 }
 
-// Guards against keeping an upstream that was removed with an attempt in flight, or its connection, after the attempt has
-// ended.
+// TestRemovedUpstreamIsDroppedAfterItsAttempt guards against keeping an upstream that was removed with an
+// attempt in flight, or its connection, after the attempt has ended.
 func TestRemovedUpstreamIsDroppedAfterItsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -176,7 +185,8 @@
 	want(t, "connections after the attempt", h.connCount, 0)
 }
 
-// Guards against opening a connection over the limit for an attempt when no idle one can be closed.
+// TestAttemptOverConnLimitIsNotSent guards against opening a connection over the limit for an attempt when no
+// idle one can be closed.
 func TestAttemptOverConnLimitIsNotSent(t *testing.T) {
 	h := newLoopHarness(t)
 	h.maxConns = 0
@@ -220,8 +230,8 @@
 	return r
 }
 
-// Guards against writing an attempt that was waiting for its connection when its request was answered, refused, timed out
-// or abandoned by its client.
+// TestClosedRequestIsNotWritten guards against writing an attempt that was waiting for its connection when
+// its request was answered, refused, timed out or abandoned by its client.
 func TestClosedRequestIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(h *loopHarness, r *request){
 		"answered": func(h *loopHarness, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
@@ -253,7 +263,8 @@
 	}
 }
 
-// fakeClock replaces the clock of the loop's transport, by which attempts are written, and returns it.
+// fakeClock replaces the clock by which the loop's transport checks deadlines before it writes an attempt. It
+// returns the time of the new clock in nanoseconds, which the test sets.
 func (h *loopHarness) fakeClock() *atomic.Int64 {
 	var fakeClock atomic.Int64
 	fakeClock.Store(int64(h.now()))
@@ -295,8 +306,8 @@
 	}
 }
 
-// Guards against writing a repeated attempt after its deduplication window because its connection opened late, or because
-// that of the first attempt opened last.
+// TestWriteDeadlineIsCheckedAtWrite guards against writing a repeated attempt after its deduplication window
+// because its connection opened late, or because that of the first attempt opened last.
 func TestWriteDeadlineIsCheckedAtWrite(t *testing.T) {
 	for name, c := range map[string]struct {
 		connectOrder [2]int
@@ -314,8 +325,8 @@
 	}
 }
 
-// Guards against an X-Deadline-Ms that is not the time left when the request is written, and against writing a request
-// whose deadline has passed.
+// TestDeadlineHeaderIsSetAtWrite guards against an X-Deadline-Ms that is not the time left when the request
+// is written, and against writing a request whose deadline has passed.
 func TestDeadlineHeaderIsSetAtWrite(t *testing.T) {
 	for delay, wantHeader := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
 		upstream := newTestUpstream(t, respondOK)
@@ -336,7 +347,8 @@
 	}
 }
 
-// Guards against sending a request before all queued lists are applied, including between two expired timers.
+// TestQueuedListsApplyBeforeSends guards against sending a request before the queued lists are applied, when
+// the loop handles an event or an expired timer.
 func TestQueuedListsApplyBeforeSends(t *testing.T) {
 	for name, trigger := range map[string]func(h *loopHarness, r *request){
 		"event": func(h *loopHarness, r *request) { h.handle(requestReceived{r}) },
@@ -353,7 +365,8 @@
 			one := upMember("s-00000001", upstream)
 			h.setMembers(20, one)
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
-			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{drainingMember(one)}}}
+			h.listUpdates <- listUpdate{from: h.discoveryClient,
+				discoveryList: discoveryList{Revision: 22, Members: []member{drainingMember(one)}}}
 			r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 			r.Class, r.Budget = "checkin", time.Second
 			r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
@@ -363,7 +376,7 @@
 	}
 }
 
-// recordingConn reports its writes to calls, and delays read errors until releaseReads is closed.
+// recordingConn reports its writes and aborts to calls, and delays read errors until releaseReads is closed.
 type recordingConn struct {
 	*net.TCPConn
 	name         string
@@ -389,8 +402,8 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// Guards against writing the next attempt while the upstream may still execute an aborted one, however late the goroutine
-// that reads the connection closes it.
+// TestAbortPrecedesNextAttempt guards against writing the next attempt while the upstream may still execute
+// an aborted one, however late the goroutine that reads the connection closes it.
 func TestAbortPrecedesNextAttempt(t *testing.T) {
 	releaseReads := make(chan struct{})
 	server := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
@@ -417,7 +430,8 @@
 	want(t, "third call", <-calls, "2 written")
 }
 
-// Guards against reusing the connection of an attempt that is aborted just as its response arrives.
+// TestAbortedConnectionIsNotReused guards against reusing the connection of an attempt that is aborted just
+// as its response arrives.
 func TestAbortedConnectionIsNotReused(t *testing.T) {
 	server := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
@@ -429,19 +443,23 @@
 	want(t, "connections kept", len(h.upstreams[r.attempts[0].upstream.id].idleConns), 0)
 }
 
-// Guards against a delay before the next watch call when a watch went silent or discovery has a new address. After a
-// failed call the Balancer decides when to call again.
+// TestWatchIsReopenedImmediately guards against a delay before the next watch call when a watch went silent
+// or discovery has a new address. After a failed call the Balancer decides when to call again.
 func TestWatchIsReopenedImmediately(t *testing.T) {
 	for name, c := range map[string]struct {
 		trigger   func(h *loopHarness)
 		wantWatch bool
 	}{
-		"silent": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
+		"silent": {func(h *loopHarness) {
+			h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent})
+		}, true},
 		"new address": {func(h *loopHarness) {
 			h.stopWatch = func() {} // a watch is open
 			configReloaded{reloadOf(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
 		}, true},
-		"failed": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
+		"failed": {func(h *loopHarness) {
+			h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF})
+		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newLoopHarness(t)
--- a/internal/proxy/memnet_test.go
+++ b/internal/proxy/memnet_test.go
@@ -31,7 +31,7 @@
 	net.Conn
 	peer      *memConn
 	closed    atomic.Bool
-	emptyPipe *os.File // from newEmptyPipe; tells that no bytes have arrived
+	emptyPipe *os.File // from newEmptyPipe; read in place of a connection without input
 }
 
 // memPipe returns the two ends of an in-memory connection.
@@ -49,8 +49,8 @@
 
 func (c *memConn) SyscallConn() (syscall.RawConn, error) { return memRawConn{c}, nil }
 
-// memRawConn reports whether the other end is closed. It does not show bytes that the other end sends, as a net.Pipe has no
-// buffer.
+// memRawConn reports whether the other end is closed. It does not show bytes that the other end sends, as a
+// net.Pipe has no buffer.
 type memRawConn struct{ *memConn }
 
 func (r memRawConn) Control(f func(fd uintptr)) error {
@@ -76,6 +76,7 @@
 	emptyPipe *os.File
 }
 
+// newMemListener returns an open listener.
 func newMemListener(emptyPipe *os.File) *memListener {
 	return &memListener{conns: make(chan net.Conn), closed: make(chan struct{}), emptyPipe: emptyPipe}
 }
@@ -92,6 +93,7 @@
 func (l *memListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *memListener) Addr() net.Addr { return &net.TCPAddr{} }
 
+// dial returns the client's end of a new connection once it has been accepted.
 func (l *memListener) dial() (net.Conn, error) {
 	clientEnd, serverEnd := memPipe(l.emptyPipe)
 	select {
@@ -122,6 +124,7 @@
 	emptyPipe       *os.File
 }
 
+// dial returns the client's end of a new connection and serves the other end.
 func (u *memUpstream) dial() net.Conn {
 	clientEnd, serverEnd := memPipe(u.emptyPipe)
 	go func() {
@@ -147,6 +150,7 @@
 	return clientEnd
 }
 
+// member returns the list entry of the upstream, as active.
 func (u *memUpstream) member(id string) member {
 	return member{ID: id, HostPort: u.address, Locality: "z1", Phase: "up", Size: 1}
 }
@@ -167,7 +171,7 @@
 	emptyPipe    *os.File
 }
 
-// newMemBalancerConfig returns a configuration without a cached list, modified by set.
+// memBalancerConfig returns a configuration without a cached list, which modify has changed.
 func memBalancerConfig(t *testing.T, modify func(*Config, *garnettide.Settings)) Config {
 	t.Helper()
 	c, err := loadTestConfig(t, configText, nil)
@@ -186,12 +190,16 @@
 	return c
 }
 
-func newMemBalancer(t *testing.T, emptyPipe *os.File, dialDiscovery func(context.Context, string, string) (net.Conn, error),
+// newMemBalancer starts a balancer with the configuration of memBalancerConfig. Its discovery client connects
+// with dialDiscovery.
+func newMemBalancer(t *testing.T, emptyPipe *os.File,
+	dialDiscovery func(context.Context, string, string) (net.Conn, error),
 	modify func(*Config, *garnettide.Settings)) *memBalancer {
 	t.Helper()
 	c := memBalancerConfig(t, modify)
 	ctx, cancel := context.WithCancel(t.Context())
-	b := &memBalancer{loop: newLoop(ctx, &c), cancel: cancel, memUpstreams: map[string]*memUpstream{}, connectGate: make(chan struct{}), emptyPipe: emptyPipe}
+	b := &memBalancer{loop: newLoop(ctx, &c), cancel: cancel, memUpstreams: map[string]*memUpstream{},
+		connectGate: make(chan struct{}), emptyPipe: emptyPipe}
 	b.discoveryClient.dial = dialDiscovery
 	b.transport.open = func(_, address string, _ time.Duration) (net.Conn, error) {
 		<-b.connectGate
@@ -203,14 +211,19 @@
 	return b
 }
 
+// addUpstream adds an upstream to the network. It receives no requests until a list names it. respond is as
+// in newTestUpstream.
 func (b *memBalancer) addUpstream(respond func(net.Conn, *http.Request) bool) *memUpstream {
-	u := &memUpstream{address: fmt.Sprintf("127.0.0.1:%d", 9000+len(b.memUpstreams)), respond: respond, emptyPipe: b.emptyPipe}
+	u := &memUpstream{address: fmt.Sprintf("127.0.0.1:%d", 9000+len(b.memUpstreams)), respond: respond,
+		emptyPipe: b.emptyPipe}
 	b.memUpstreams[u.address] = u
 	return u
 }
 
+// sendList passes a complete list to the loop, as if discovery had sent it.
 func (b *memBalancer) sendList(revision uint64, members ...member) {
-	b.listUpdates <- listUpdate{from: b.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
+	b.listUpdates <- listUpdate{from: b.discoveryClient,
+		discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}}
 }
 
 // requestsStarted returns how many requests have started at all upstreams.
@@ -221,8 +234,9 @@
 	return n
 }
 
-// Guards against starting an attempt more than 0.1 s after the client has left: one of a queued request, one that waits for
-// its connection, a retry or a hedge. With a client that stays, each of them starts.
+// TestNoAttemptStartsAfterClientLeaves guards against starting an attempt more than 0.1 s after the client
+// has left: one of a queued request, one that waits for its connection, a retry or a hedge. With a client
+// that stays, each of them starts.
 func TestNoAttemptStartsAfterClientLeaves(t *testing.T) {
 	const detectionLimit = 100 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -259,7 +273,8 @@
 		"hedge": {"pay", 1, func(b *memBalancer, sendRequest func()) func() {
 			close(b.connectGate)
 			neverRespond := func(c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }
-			b.sendList(50, b.addUpstream(neverRespond).member("s-00000001"), b.addUpstream(neverRespond).member("s-00000002"))
+			b.sendList(50, b.addUpstream(neverRespond).member("s-00000001"),
+				b.addUpstream(neverRespond).member("s-00000002"))
 			sendRequest()
 			return func() {} // the Balancer hedges when the first attempt is late
 		}},
@@ -267,7 +282,8 @@
 		for _, leaves := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leaves %v", name, leaves), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
+					b := newMemBalancer(t, newEmptyPipe(t), dialBlocked,
+						func(_ *Config, s *garnettide.Settings) { s.Limits.Hedging = true })
 					clientEnd, serverEnd := memPipe(b.emptyPipe)
 					startAttempt := c.prepare(b, func() {
 						synctest.Wait() // for the list to be applied
@@ -305,8 +321,9 @@
 	}
 }
 
-// Guards against starting an attempt after the client of an upload that exceeds the buffer has left. The client is not read
-// until an attempt takes the body, so the close, which follows unread bytes, has to be detected without a read.
+// TestNoAttemptStartsAfterClientOfLargeUploadLeaves guards against starting an attempt after the client of an
+// upload that exceeds the buffer has left. The client is not read until an attempt takes the body, so the
+// close, which follows unread bytes, has to be detected without a read.
 func TestNoAttemptStartsAfterClientOfLargeUploadLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newMemBalancer(t, newEmptyPipe(t), dialBlocked, func(*Config, *garnettide.Settings) {})
@@ -353,17 +370,21 @@
 	busyUntil       time.Time
 }
 
-// maxQueueWait is how long a call may wait for earlier ones before it fails. A failed call takes callDuration all the same.
+// maxQueueWait is how long a call may wait for earlier ones before it fails. A failed call takes callDuration
+// all the same.
 const maxQueueWait = 2 * time.Second
 
+// newMemDiscovery starts a discovery server with revision 1, which ends with the test.
 func newMemDiscovery(t *testing.T, emptyPipe *os.File) *memDiscovery {
-	d := &memDiscovery{listener: newMemListener(emptyPipe), revision: 1, revisionChanged: make(chan struct{}), conns: map[net.Conn]bool{}}
+	d := &memDiscovery{listener: newMemListener(emptyPipe), revision: 1, revisionChanged: make(chan struct{}),
+		conns: map[net.Conn]bool{}}
 	s := &http.Server{Handler: d}
 	go s.Serve(d.listener)
 	t.Cleanup(func() { s.Close() })
 	return d
 }
 
+// dial connects to the server, or calls outage instead if it is set.
 func (d *memDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	d.mu.Lock()
 	outage := d.outage
@@ -380,6 +401,8 @@
 	return c, err
 }
 
+// ServeHTTP answers a call with the list. A watch call of the current revision is held until the revision is
+// raised or its timeout is over. A call that would wait for earlier ones longer than maxQueueWait gets a 503.
 func (d *memDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	revisionChanged, upToDate := d.revisionChanged, r.FormValue("since") == fmt.Sprint(d.revision)
@@ -405,7 +428,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fmt.Fprintf(w, `{"revision":%d,"complete":true,"members":[{"id":"s-00000001","host_port":"127.0.0.1:1","phase":"up"}]}`, d.revision)
+	fmt.Fprintf(w, `{"revision":%d,"complete":true,"members":[{"id":"s-00000001","host_port":"127.0.0.1:1","phase":"up"}]}`,
+		d.revision)
 }
 
 // startOutage closes all connections; outage replaces connecting from then on.
@@ -429,9 +453,9 @@
 	d.revisionChanged = make(chan struct{})
 }
 
-// Guards against getting a new list later than 6 s after discovery can be reached again, however the calls in between
-// failed. Unanswered calls are tested only for a new process without a list: later they are silent watches, with a time-out
-// of their own.
+// TestDiscoveryRecoversAfterFailedCalls guards against getting a new list later than 6 s after discovery can
+// be reached again, however the calls in between failed. Unanswered calls are tested only for a new process
+// without a list: later they are silent watches, with a timeout of their own.
 func TestDiscoveryRecoversAfterFailedCalls(t *testing.T) {
 	const deliveryLimit = 6 * time.Second
 	respondAfter := func(delay time.Duration, text string) func(context.Context) (net.Conn, error) {
@@ -452,28 +476,32 @@
 	}{
 		"refused":       {func(context.Context) (net.Conn, error) { return nil, errConnRefused }, false},
 		"no connection": {func(ctx context.Context) (net.Conn, error) { return dialBlocked(ctx, "", "") }, false},
-		"failed":        {respondAfter(2*time.Second, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
-		"reset":         {respondAfter(time.Second, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"), false},
-		"no answer":     {respondAfter(time.Minute, ""), true},
+		"failed": {respondAfter(2*time.Second, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+			false},
+		"reset":     {respondAfter(time.Second, "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"), false},
+		"no answer": {respondAfter(time.Minute, ""), true},
 	} {
 		for _, newProcess := range []bool{false, true} {
 			if c.noAnswer && !newProcess {
 				continue
 			}
 			t.Run(fmt.Sprintf("%s, new process %v", name, newProcess), func(t *testing.T) {
-				for _, outageLength := range []time.Duration{time.Second / 10, time.Second / 2, 4 * time.Second, 8 * time.Second, 21 * time.Second, 61 * time.Second} {
+				for _, outageLength := range []time.Duration{time.Second / 10, time.Second / 2, 4 * time.Second,
+					8 * time.Second, 21 * time.Second, 61 * time.Second} {
 					for seed := range uint64(4) {
 						synctest.Test(t, func(t *testing.T) {
 							d := newMemDiscovery(t, newEmptyPipe(t))
 							if newProcess {
 								d.startOutage(c.outage)
 							}
-							b := newMemBalancer(t, d.listener.emptyPipe, d.dial, func(cfg *Config, s *garnettide.Settings) {
-								cfg.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed, 20*time.Second, 300
-								if newProcess { // its first call is made at once, without an earlier revision
-									cfg.InheritedFD, s.Balancers = minInheritedFD, 1
-								}
-							})
+							b := newMemBalancer(t, d.listener.emptyPipe, d.dial,
+								func(cfg *Config, s *garnettide.Settings) {
+									cfg.Seed, s.Requirements.MaxDiscoveryInterval, s.Balancers = seed,
+										20*time.Second, 300
+									if newProcess { // its first call is made at once, without an earlier revision
+										cfg.InheritedFD, s.Balancers = minInheritedFD, 1
+									}
+								})
 							if !newProcess {
 								time.Sleep(time.Minute)
 								want(t, "revision before the outage", b.appliedRevision(), 1)
@@ -483,7 +511,8 @@
 							d.endOutage()
 							time.Sleep(deliveryLimit)
 							if got := b.appliedRevision(); got != 2 {
-								t.Errorf("outage of %v, seed %d: no new list %v after its end", outageLength, seed, deliveryLimit)
+								t.Errorf("outage of %v, seed %d: no new list %v after its end", outageLength, seed,
+									deliveryLimit)
 							}
 							b.cancel()
 							time.Sleep(2 * time.Minute) // for pending calls to end
@@ -503,8 +532,9 @@
 	return revision
 }
 
-// Guards against slow starts: of balancers that are restarted or replaced at the same time, nine in ten must be ready within
-// 10 s, while discovery serves their calls one at a time or, if they have a cached list, cannot be reached.
+// TestRestartedBalancersAreReadyInTime guards against slow starts: of balancers that are restarted or
+// replaced at the same time, nine in ten must be ready within 10 s, while discovery serves their calls one at
+// a time or, if they have a cached list, cannot be reached.
 func TestRestartedBalancersAreReadyInTime(t *testing.T) {
 	const limit = 10 * time.Second
 	for name, c := range map[string]struct {
@@ -514,8 +544,12 @@
 	}{
 		"one at a time":                      {60 * time.Millisecond, nil, true},
 		"one at a time, without cached list": {30 * time.Millisecond, nil, false},
-		"refused":                            {0, func(context.Context) (net.Conn, error) { return nil, errConnRefused }, true},
-		"no connection":                      {0, func(ctx context.Context) (net.Conn, error) { return dialBlocked(ctx, "", "") }, true},
+		"refused": {0, func(context.Context) (net.Conn, error) {
+			return nil, errConnRefused
+		}, true},
+		"no connection": {0, func(ctx context.Context) (net.Conn, error) {
+			return dialBlocked(ctx, "", "")
+		}, true},
 	} {
 		for _, replaced := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, replaced %v", name, replaced), func(t *testing.T) {
@@ -534,7 +568,8 @@
 							s.Requirements.MaxDiscoveryInterval = 10 * time.Second
 						})
 						if cfg.CachedList = (discoveryList{}); c.hasCachedList {
-							cfg.CachedList = discoveryList{Revision: 1, Complete: true, Members: []member{u.member("s-00000001")}}
+							cfg.CachedList = discoveryList{Revision: 1, Complete: true,
+								Members: []member{u.member("s-00000001")}}
 						}
 						if replaced {
 							cfg.InheritedFD = minInheritedFD
@@ -543,7 +578,9 @@
 						running.Go(func() {
 							if err := run(ctx, cfg, listener, nil, func(l *loop) {
 								l.discoveryClient.dial = d.dial
-								l.transport.open = func(string, string, time.Duration) (net.Conn, error) { return u.dial(), nil }
+								l.transport.open = func(string, string, time.Duration) (net.Conn, error) {
+									return u.dial(), nil
+								}
 								loops <- l
 							}); err != nil {
 								t.Error(err)
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -21,7 +21,7 @@
 func (c readerConn) Write(b []byte) (int, error)     { return len(b), nil }
 func (c readerConn) SetReadDeadline(time.Time) error { return nil }
 
-// newBodyMemory returns 64 MB of body memory.
+// newBodyMemory returns a bodyMemory with 64 MB available.
 func newBodyMemory() *bodyMemory {
 	m := new(bodyMemory)
 	m.available.Store(64 << 20)
@@ -83,8 +83,10 @@
 		f.Add([]byte(text))
 	}
 	front := &frontend{now: func() time.Duration { return 0 }, memory: newBodyMemory()}
-	front.plan.Store(parsedConfigWith(f, "127.0.0.1:8500", nil, `"name":"read","target_us":2000000,"give_up_us":4000000`,
-		`"name":"read","target_us":1000000,"give_up_us":1000000`, `"name":"checkin","target_us":2000000,"give_up_us":4000000`,
+	front.plan.Store(parsedConfigWith(f, "127.0.0.1:8500", nil,
+		`"name":"read","target_us":2000000,"give_up_us":4000000`,
+		`"name":"read","target_us":1000000,"give_up_us":1000000`,
+		`"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 		`"name":"checkin","target_us":1000000,"give_up_us":1000000`).Plan)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		limitedConn := &timedConn{Conn: readerConn{Reader: bytes.NewReader(text)}}
@@ -105,10 +107,13 @@
 			t.Fatalf("net/http rejects the forwarded request %q: %v", forwarded, err)
 		}
 		body, err := io.ReadAll(parsed.Body)
-		if err != nil || !bytes.Equal(body, req.message.body) || reader.Buffered() > 0 || len(parsed.TransferEncoding) > 0 {
-			t.Errorf("forwarded %q, of which net/http reads the body %q, error %v, %d bytes left", forwarded, body, err, reader.Buffered())
+		if err != nil || !bytes.Equal(body, req.message.body) || reader.Buffered() > 0 ||
+			len(parsed.TransferEncoding) > 0 {
+			t.Errorf("forwarded %q, of which net/http reads the body %q, error %v, %d bytes left", forwarded, body, err,
+				reader.Buffered())
 		}
-		if parsed.Header.Get("X-Request-Id") != req.clientRequestID || !strings.HasPrefix(req.message.methodAndTarget, parsed.Method+" "+parsed.RequestURI) {
+		if parsed.Header.Get("X-Request-Id") != req.clientRequestID ||
+			!strings.HasPrefix(req.message.methodAndTarget, parsed.Method+" "+parsed.RequestURI) {
 			t.Errorf("forwarded %q, with another ID, method or target", forwarded)
 		}
 	})
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -145,7 +145,8 @@
 	return resp.StatusCode
 }
 
-// TestReadyRequiresDiscoveryList guards against a balancer that becomes ready without any upstreams.
+// TestReadyRequiresDiscoveryList guards against a balancer with an empty cached list that becomes ready
+// before discovery has answered.
 func TestReadyRequiresDiscoveryList(t *testing.T) {
 	b := startBalancerWith(t, func(c *Config) { c.Operator = "127.0.0.1:0" })
 	cfg := b.config // its cached list is empty, so it cannot serve requests
@@ -223,6 +224,7 @@
 	return &testClientConn{c, bufio.NewReader(c)}
 }
 
+// send writes a request.
 func (c *testClientConn) send(t *testing.T, r *http.Request) {
 	t.Helper()
 	if err := r.Write(c); err != nil {
@@ -254,6 +256,7 @@
 		members = append(members, upMember(id, upstreams[i]))
 	}
 	b := startBalancerWithAdmin(t, members...)
+	// sendReads sends n requests and counts the responses by body, or by status if it is not 200.
 	sendReads := func(n int) map[string]int {
 		got := map[string]int{}
 		for range n {
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -33,7 +33,7 @@
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}`
 
-// testUpstream is an upstream whose responses a test writes byte by byte.
+// testUpstream is an upstream whose responses a test writes as raw text.
 type testUpstream struct {
 	addr      string
 	received  chan *http.Request // each request once it is complete, with its body read
@@ -262,7 +262,8 @@
 		}
 		want(t, "X-Hop", forwarded.Header.Get("X-Hop"), "")
 		if ms, err := strconv.Atoi(forwarded.Header.Get("X-Deadline-Ms")); err != nil || ms <= 0 || ms >= 4000 {
-			t.Errorf("X-Deadline-Ms: got %q, want a positive number below the client's", forwarded.Header.Get("X-Deadline-Ms"))
+			t.Errorf("X-Deadline-Ms: got %q, want a positive number below the client's",
+				forwarded.Header.Get("X-Deadline-Ms"))
 		}
 	}
 	want(t, "connections opened", upstream.connsOpened(), 1)
@@ -286,7 +287,8 @@
 					h.Set("Idempotency-Key", "1")
 				}
 				m := message{methodAndTarget: "POST /x", host: "x", header: h}
-				return transport.run(&attempt{req: &request{}, upstream: u, address: server.addr, conn: c, message: &m, responseTimeout: time.Second})
+				return transport.run(&attempt{req: &request{}, upstream: u, address: server.addr, conn: c, message: &m,
+					responseTimeout: time.Second})
 			}
 			first := send(nil)
 			want(t, "first attempt", first.status, garnettide.OK)
@@ -357,7 +359,8 @@
 	}
 	run := func(c *conn) attemptResult {
 		m := message{methodAndTarget: "POST /x", host: "x"}
-		return transport.run(&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, conn: c, message: &m, responseTimeout: time.Second})
+		return transport.run(&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, conn: c,
+			message: &m, responseTimeout: time.Second})
 	}
 	r := run(c)
 	want(t, "first attempt", r.status, garnettide.OK)
@@ -381,45 +384,85 @@
 		status   any
 		reusable bool
 	}{
-		{"complete", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), garnettide.OK, true},
-		{"complete, chunked", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.OK, true},
-		{"complete, Connection: close", raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", false), garnettide.OK, false},
-		{"complete after an interim response", raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.OK, true},
-		{"followed by a duplicate response", raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), garnettide.OK, false},
+		{"complete",
+			raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: util=0.5\r\n\r\nab", true), garnettide.OK, true},
+		{"complete, chunked",
+			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true),
+			garnettide.OK, true},
+		{"complete, Connection: close",
+			raw("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab", false), garnettide.OK, false},
+		{"complete after an interim response",
+			raw("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true),
+			garnettide.OK, true},
+		{"followed by a duplicate response",
+			raw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", 2), true), garnettide.OK, false},
 		{"followed by extra bytes", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab?", true), garnettide.OK, false},
-		{"too many interim responses", raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1), true), garnettide.Error, false},
-		{"protocol switch", raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"header too long", raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
-		{"header line too long", raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHeadBytes), true), garnettide.Error, false},
+		{"too many interim responses",
+			raw(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", maxInterimResponses+1), true),
+			garnettide.Error, false},
+		{"protocol switch",
+			raw("HTTP/1.1 101 Switching Protocols\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", true),
+			garnettide.Error, false},
+		{"header too long",
+			raw("HTTP/1.1 200 OK\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true),
+			garnettide.Error, false},
+		{"header line too long",
+			raw("HTTP/1.1 200 OK\r\nX-Pad: "+strings.Repeat("p", 2*maxHeadBytes), true), garnettide.Error, false},
 		{"body ends with the connection", raw("HTTP/1.1 200 OK\r\n\r\nab", false), garnettide.OK, false},
 		{"204 without a body", raw("HTTP/1.1 204 No Content\r\n\r\n", true), garnettide.Error, true},
-		{"with a trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true), garnettide.OK, true},
-		{"trailer too long", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true), garnettide.Error, false},
-		{"truncated in the trailer", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false), garnettide.Reset, false},
-		{"Content-Length and Transfer-Encoding", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true), garnettide.Error, false},
-		{"two Content-Length fields", raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"negative Content-Length", raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab", true), garnettide.Error, false},
-		{"malformed chunk size", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n", true), garnettide.Error, false},
+		{"with a trailer",
+			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2;a=b\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", true),
+			garnettide.OK, true},
+		{"trailer too long",
+			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n"+
+				strings.Repeat("X-Pad: pppppppppp\r\n", maxHeadBytes/10), true),
+			garnettide.Error, false},
+		{"truncated in the trailer",
+			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", false),
+			garnettide.Reset, false},
+		{"Content-Length and Transfer-Encoding",
+			raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", true),
+			garnettide.Error, false},
+		{"two Content-Length fields",
+			raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"negative Content-Length",
+			raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab", true), garnettide.Error, false},
+		{"malformed chunk size",
+			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\nzz\r\n", true),
+			garnettide.Error, false},
 		{"malformed status code", raw("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"header field without a colon", raw("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"space in a header field's name", raw("HTTP/1.1 200 OK\r\nContent-Length : 3\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
-		{"Content-Length of 3 GB", raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), garnettide.Error, false},
+		{"header field without a colon",
+			raw("HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"space in a header field's name",
+			raw("HTTP/1.1 200 OK\r\nContent-Length : 3\r\nContent-Length: 2\r\n\r\nab", true), garnettide.Error, false},
+		{"Content-Length of 3 GB",
+			raw("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nab", true), garnettide.Error, false},
 		{"status 500", raw("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
-		{"503 that may have been executed", raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
-		{"503 with X-Not-Run", raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
-		{"504 with X-Not-Run", raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
-		{"502 with X-Not-Run may have been executed", raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"503 that may have been executed",
+			raw("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
+		{"503 with X-Not-Run",
+			raw("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
+		{"504 with X-Not-Run",
+			raw("HTTP/1.1 504 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Rejected, true},
+		{"502 with X-Not-Run may have been executed",
+			raw("HTTP/1.1 502 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", true), garnettide.Error, true},
 		{"closed without a response", raw("", false), garnettide.Reset, false},
 		{"truncated", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab", false), garnettide.Reset, false},
-		{"truncated, chunked", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), garnettide.Reset, false},
+		{"truncated, chunked",
+			raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", false), garnettide.Reset, false},
 		{"not HTTP", raw("what?\r\n\r\n", false), garnettide.Error, false},
-		{"Content-Length over the size limit", raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1), true), garnettide.Error, false},
-		{"error response too long to buffer", raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), garnettide.Error, false},
+		{"Content-Length over the size limit",
+			raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxBodyBytes+1), true),
+			garnettide.Error, false},
+		{"error response too long to buffer",
+			raw("HTTP/1.1 500 X\r\nContent-Length: 65537\r\n\r\n", true), garnettide.Error, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server := newTestUpstream(t, c.respond)
 			m := message{methodAndTarget: "POST /x", host: "x", body: []byte("b")}
-			result := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newBodyMemory()}.run(&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, message: &m, responseTimeout: time.Second})
+			result := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newBodyMemory()}.run(
+				&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, message: &m,
+					responseTimeout: time.Second})
 			want(t, "status", any(result.status), c.status)
 			want(t, "connection reusable", result.conn != nil, c.reusable)
 			if c.status == garnettide.OK {
@@ -460,8 +503,9 @@
 		return readSignalConn{c, reads}, err
 	}
 	m := message{methodAndTarget: "POST /x", host: "x"}
-	result := upstreamTransport{open: open, timeout: time.Second, memory: newBodyMemory()}.run(&attempt{req: &request{}, upstream: &upstream{}, address: server.addr,
-		message: &m, responseTimeout: time.Second})
+	result := upstreamTransport{open: open, timeout: time.Second, memory: newBodyMemory()}.run(
+		&attempt{req: &request{}, upstream: &upstream{}, address: server.addr, message: &m,
+			responseTimeout: time.Second})
 	want(t, "status", result.status, garnettide.Reset)
 	want(t, "body", string(result.body), "")
 }
@@ -475,12 +519,14 @@
 	}
 	listener.Close()
 	transport := upstreamTransport{open: net.DialTimeout, timeout: time.Second, memory: newBodyMemory()}
-	want(t, "status without a listener", transport.run(&attempt{address: listener.Addr().String()}).status, garnettide.ConnectFailed)
+	want(t, "status without a listener", transport.run(&attempt{address: listener.Addr().String()}).status,
+		garnettide.ConnectFailed)
 
 	// An attempt is dropped if its request ends, or its upstream is drained or removed, while its connection is being
 	// opened.
 	server := newTestUpstream(t, respondOK)
-	a := &attempt{req: &request{}, address: server.addr, message: &message{methodAndTarget: "POST /x", host: "x"}, responseTimeout: time.Second}
+	a := &attempt{req: &request{}, address: server.addr, message: &message{methodAndTarget: "POST /x", host: "x"},
+		responseTimeout: time.Second}
 	want(t, "dropped", a.drop(), true)
 	result := transport.run(a)
 	want(t, "status", result.status, garnettide.NotSent)
@@ -535,7 +581,8 @@
 		status, _ := b.do(t, tt.request)
 		want(t, tt.name, status, tt.status)
 	}
-	oversizedRequest := checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", len(oversizedBody))) + oversizedBody
+	oversizedRequest := checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", len(oversizedBody))) +
+		oversizedBody
 	if got := sendRaw(t, b.url, oversizedRequest); !strings.HasPrefix(got, "HTTP/1.1 413 ") {
 		t.Errorf("body too large: got %q, want 413", got)
 	}
@@ -573,14 +620,17 @@
 	const id = "X-Request-Id: 1\r\n"
 	return []malformedRequest{
 		{"binary data", "\x00\x01\x02\r\n\r\n", "505"},
-		{"Content-Length and Transfer-Encoding", checkinRequest(id + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), "400"},
-		{"two Transfer-Encoding fields", checkinRequest(id + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), "400"},
+		{"Content-Length and Transfer-Encoding",
+			checkinRequest(id + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), "400"},
+		{"two Transfer-Encoding fields",
+			checkinRequest(id + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n"), "400"},
 		{"chunked twice", checkinRequest(id + "Transfer-Encoding: chunked, chunked\r\n"), "400"},
 		{"unknown Transfer-Encoding", checkinRequest(id + "Transfer-Encoding: gzip\r\n"), "501"},
 		{"unknown Expect", checkinRequest(id + "Content-Length: 2\r\nExpect: more\r\n"), "417"},
 		{"malformed chunk size", checkinRequest(id+"Transfer-Encoding: chunked\r\n") + "zz\r\n", "400"},
 		{"incomplete chunk", checkinRequest(id+"Transfer-Encoding: chunked\r\n") + "5\r\nab", "408"},
-		{"chunks in HTTP/1.0", strings.Replace(checkinRequest(id+"Transfer-Encoding: chunked\r\n"), "1.1", "1.0", 1), "505"},
+		{"chunks in HTTP/1.0",
+			strings.Replace(checkinRequest(id+"Transfer-Encoding: chunked\r\n"), "1.1", "1.0", 1), "505"},
 		{"space before the colon", checkinRequest(id + "Transfer-Encoding : chunked\r\n"), "400"},
 		{"header field without a colon", checkinRequest(id + "what\r\n"), "400"},
 		{"no Content-Length", checkinRequest(id), "411"},
@@ -590,7 +640,8 @@
 		{"two Content-Length fields", checkinRequest(id + "Content-Length: 2\r\nContent-Length: 2\r\n"), "400"},
 		{"body longer than Content-Length", checkinRequest(id+"Content-Length: 2\r\n") + "abc", "400"},
 		{"pipelined requests", strings.Repeat(checkinRequest(id+"Content-Length: 0\r\n"), 2), "400"},
-		{"unknown class", strings.Replace(checkinRequest(id+"Content-Length: 0\r\n"), "X-Class: checkin", "X-Class: x", 1), "400"},
+		{"unknown class",
+			strings.Replace(checkinRequest(id+"Content-Length: 0\r\n"), "X-Class: checkin", "X-Class: x", 1), "400"},
 		{"two X-Class fields", checkinRequest(id + "X-Class: checkin\r\nContent-Length: 0\r\n"), "400"},
 		{"no X-Request-Id", checkinRequest("Content-Length: 0\r\n"), "400"},
 		{"two X-Request-Id fields", checkinRequest(id + id + "Content-Length: 0\r\n"), "400"},
@@ -598,7 +649,8 @@
 		{"empty deadline", checkinRequest(id + "X-Deadline-Ms:\r\nContent-Length: 0\r\n"), "400"},
 		{"zero deadline", checkinRequest(id + "X-Deadline-Ms: 0\r\nContent-Length: 0\r\n"), "400"},
 		{"negative deadline", checkinRequest(id + "X-Deadline-Ms: -5\r\nContent-Length: 0\r\n"), "400"},
-		{"two X-Deadline-Ms fields", checkinRequest(id + "X-Deadline-Ms: 50\r\nX-Deadline-Ms: 60\r\nContent-Length: 0\r\n"), "400"},
+		{"two X-Deadline-Ms fields",
+			checkinRequest(id + "X-Deadline-Ms: 50\r\nX-Deadline-Ms: 60\r\nContent-Length: 0\r\n"), "400"},
 		{"head too long", checkinRequest(id + strings.Repeat("X-Pad: pppp\r\n", maxHeadBytes)), "431"},
 		{"incomplete head", "POST /checkin HT", "408"},
 		{"incomplete body", checkinRequest(id+"Content-Length: 5\r\n") + "ab", "408"},
@@ -609,7 +661,8 @@
 // checkResponse checks what a client received after sending the malformed request.
 func (m malformedRequest) checkResponse(t *testing.T, got string) {
 	t.Helper()
-	if want := "HTTP/1.1 " + m.status; (m.status == "") != (got == "") || (m.status != "" && !strings.HasPrefix(got, want)) {
+	if want := "HTTP/1.1 " + m.status; (m.status == "") != (got == "") ||
+		(m.status != "" && !strings.HasPrefix(got, want)) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -652,8 +705,8 @@
 	}
 }
 
-// TestSlowClientIsServed guards against closing a client that sends its request slowly but steadily: it gets longer
-// than a client that sends nothing.
+// TestSlowClientIsServed guards against closing a client that sends its request slowly, but within
+// requestHeadTimeout.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -757,8 +810,8 @@
 	want(t, "status of the request in flight", <-lateStatus, 200)
 }
 
-// TestHungUpstreamFailsByDeadline guards against responding after the client's deadline, and against sending a
-// non-idempotent request again.
+// TestHungUpstreamFailsByDeadline guards against responding well before or long after the client's deadline,
+// and against sending a non-idempotent request again.
 func TestHungUpstreamFailsByDeadline(t *testing.T) {
 	release := make(chan struct{})
 	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
@@ -773,8 +826,9 @@
 	want(t, "requests at the upstream", len(upstream.received), 1)
 }
 
-// TestUpstreamConnectionOutlivesClient guards against closing an upstream connection because the client has left. It
-// stays open for the late response and is reused. All other connections are closed after their responses.
+// TestUpstreamConnectionOutlivesClient guards against closing an upstream connection because the client has
+// left. It stays open for the late response and is reused. The upstream closes all other connections after a
+// response, so that the reuse can be detected.
 func TestUpstreamConnectionOutlivesClient(t *testing.T) {
 	release := make(chan struct{})
 	servedOn := make(chan net.Conn, 1)
@@ -828,7 +882,7 @@
 		<-b.discovery.calls
 	}
 	if took := time.Since(start); took < 2*minWatchInterval {
-		t.Errorf("got 4 calls in %v, want a pause between calls", took)
+		t.Errorf("got 4 calls in %v, want at least 2*minWatchInterval", took)
 	}
 }
 
@@ -888,7 +942,8 @@
 	<-b.discovery.calls
 	b.discovery.responses <- discoveryList{} // sent as a 503
 	<-b.discovery.calls
-	b.discovery.responses <- discoveryList{Revision: 20, Complete: true, Members: []member{upMember("s-00000001", upstream)}}
+	b.discovery.responses <- discoveryList{Revision: 20, Complete: true,
+		Members: []member{upMember("s-00000001", upstream)}}
 	<-b.discovery.calls // the list has been posted to the loop
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	want(t, "status", status, 200)
@@ -906,10 +961,12 @@
 	b.reloads <- reloadOf(reloaded)
 	want(t, "call to the new server", <-newDiscovery.calls, "")
 	select { // the call to the old server has been cancelled; a response that is still written comes too late
-	case b.discovery.responses <- discoveryList{Revision: 30, Complete: true, Members: []member{upMember("s-00000001", oldUpstream)}}:
+	case b.discovery.responses <- discoveryList{Revision: 30, Complete: true,
+		Members: []member{upMember("s-00000001", oldUpstream)}}:
 	default:
 	}
-	newDiscovery.responses <- discoveryList{Revision: 3, Complete: true, Members: []member{upMember("s-00000002", newUpstream)}}
+	newDiscovery.responses <- discoveryList{Revision: 3, Complete: true,
+		Members: []member{upMember("s-00000002", newUpstream)}}
 	want(t, "next call to the new server", withoutTimeout(<-newDiscovery.calls), "since=3")
 	for range 5 {
 		status, _ := b.do(t, b.newRequest("checkin", ""))
@@ -996,7 +1053,9 @@
 // losing the request in flight when the shutdown and the reload overlap.
 func TestShutdownDuringDiscoveryChange(t *testing.T) {
 	for _, stopFirst := range []bool{false, true} {
-		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) { testShutdownDuringDiscoveryChange(t, stopFirst) })
+		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) {
+			testShutdownDuringDiscoveryChange(t, stopFirst)
+		})
 	}
 }
 
@@ -1021,7 +1080,8 @@
 	c.Discovery = newDiscovery.addr
 	if stopFirst {
 		b.cancel()
-		for resp, err := b.client.Get(b.url + "/healthz"); err == nil && resp.StatusCode == 200; resp, err = b.client.Get(b.url + "/healthz") {
+		for resp, err := b.client.Get(b.url + "/healthz"); err == nil &&
+			resp.StatusCode == 200; resp, err = b.client.Get(b.url + "/healthz") {
 			resp.Body.Close()
 		}
 	}
--- a/internal/proxy/reload_test.go
+++ b/internal/proxy/reload_test.go
@@ -53,7 +53,8 @@
 // parsedConfigWith returns the Config of configTextWith.
 func parsedConfigWith(t testing.TB, discovery string, members []member, replacements ...string) Config {
 	t.Helper()
-	c, err := decodeConfig(strings.NewReader(configTextWith(t, discovery, members, replacements...)), nil, func(*configFile) {})
+	c, err := decodeConfig(strings.NewReader(configTextWith(t, discovery, members, replacements...)), nil,
+		func(*configFile) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +124,7 @@
 	return strings.Count(l.text.String(), word)
 }
 
-// newReloadableBalancer starts a balancer with a configuration modified by set.
+// newReloadableBalancer starts a balancer with a configuration that modify has changed.
 func newReloadableBalancer(t *testing.T, modify func(*Config), members ...member) *reloadableBalancer {
 	t.Helper()
 	r := &reloadableBalancer{configPath: filepath.Join(t.TempDir(), "config.json"), hangups: make(chan os.Signal, 1),
@@ -151,6 +152,7 @@
 	return r
 }
 
+// getenv is the environment of the Reloader: the configuration file and the operators' address.
 func (r *reloadableBalancer) getenv(name string) string {
 	return map[string]string{"RELAY_CONFIG": r.configPath, "RELAY_OPERATOR": r.config.Operator}[name]
 }
@@ -208,17 +210,19 @@
 var removingCheckin = []string{`"worth":1},
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}]`, `"worth":1}]`}
 
-// Guards against a SIGHUP that does not apply added and removed classes, tenants, limits and connection time-outs, or does
-// not log what has changed.
+// TestReloadAppliesSettings guards against a SIGHUP that does not apply added and removed classes, tenants,
+// limits and connection timeouts, or does not log what has changed.
 func TestReloadAppliesSettings(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
 	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "status of a class before it is added", status, 400)
-	r.reloadWith(t, append(addingClass("parcel"), append(removingCheckin, `"connect_timeout_us":500000`, `"connect_timeout_us":70000`,
+	r.reloadWith(t, append(addingClass("parcel"), append(removingCheckin, `"connect_timeout_us":500000`,
+		`"connect_timeout_us":70000`,
 		`"keepalive_us":60000000`, `"keepalive_us":20000000`, `"max_attempts":3`,
 		`"max_attempts":2,"retry_after":true,"max_retry_after_us":5000`,
-		`"name":"read","target_us":2000000,"give_up_us":4000000`, `"name":"read","target_us":2000000,"give_up_us":2500000`,
+		`"name":"read","target_us":2000000,"give_up_us":4000000`,
+		`"name":"read","target_us":2000000,"give_up_us":2500000`,
 		`"reporting"`, `"tenants":[{"name":"t1","quota_rps":2}],"reporting"`)...)...)
 	status, _ = r.do(t, r.newRequest("parcel", ""))
 	want(t, "status of the added class", status, 200)
@@ -229,8 +233,8 @@
 	status, _ = r.do(t, r.newRequest("parcel", "", "X-Tenant", "t2"))
 	want(t, "status of an unknown tenant", status, 503)
 	r.checkOnLoop(func(l *loop) bool {
-		want(t, "connect time-out", l.transport.timeout, 70*time.Millisecond)
-		want(t, "idle time-out", l.upstreamIdleTimeout, 15*time.Second)
+		want(t, "connect timeout", l.transport.timeout, 70*time.Millisecond)
+		want(t, "idle timeout", l.upstreamIdleTimeout, 15*time.Second)
 		want(t, "max attempts", l.settings.Limits.MaxAttempts, 2)
 		want(t, "retry-after", l.settings.Limits.RetryAfter, true)
 		return true
@@ -249,7 +253,7 @@
 	want(t, "status after reloading the same file", status, 200)
 }
 
-// Guards against logging a hash at the start that is not that of the file.
+// TestConfigHashAtStart guards against a hash of the configuration at the start that is not that of the file.
 func TestConfigHashAtStart(t *testing.T) {
 	c, err := loadTestConfig(t, configText, nil)
 	if err != nil {
@@ -258,8 +262,8 @@
 	want(t, "hash", c.Hash, fmt.Sprintf("%x", sha256.Sum256([]byte(configText)))[:12])
 }
 
-// Guards against a reload that removes a class ending its requests in flight or preventing their retries, and against
-// accepting new requests of that class.
+// TestRemovedClassFinishesRequestsInFlight guards against a reload that removes a class ending its requests
+// in flight or preventing their retries, and against accepting new requests of that class.
 func TestRemovedClassFinishesRequestsInFlight(t *testing.T) {
 	release := make(chan struct{})
 	var received atomic.Int32
@@ -276,10 +280,11 @@
 	want(t, "status of a new request of the removed class", status, 400)
 	close(release)
 	want(t, "status of the request in flight", inFlight.readResponse(t).StatusCode, 200)
-	want(t, "its attempts", len(upstream.received)+1, 2)
+	want(t, "attempts of the request in flight", len(upstream.received)+1, 2)
 }
 
-// Guards against a changed deadline applying to requests that are already in flight, or not to later ones.
+// TestReloadKeepsDeadlinesInFlight guards against a changed deadline applying to requests that are already in
+// flight, or not to later ones.
 func TestReloadKeepsDeadlinesInFlight(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -312,8 +317,8 @@
 	want(t, "status of the new request", (<-after.responseCh).status, http.StatusGatewayTimeout)
 }
 
-// Guards against a wrong response, a wrong number of attempts or leftover state for a request whose head is read before a
-// reload, and whose body arrives after it.
+// TestReloadBetweenHeadAndBody guards against a wrong response, a wrong number of attempts or leftover state
+// for a request whose head is read before a reload, and whose body arrives after it.
 func TestReloadBetweenHeadAndBody(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -323,14 +328,19 @@
 	}{
 		{"class removed", removingCheckin, 503, 0},
 		{"unchanged", nil, 502, 1},
-		{"repeatable now, but without a key", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent"`,
-			`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"idempotency_key","group":"all","memory_span_us":9000000`}, 502, 1},
+		{"repeatable now, but without a key", []string{
+			`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent"`,
+			`"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"idempotency_key","group":"all","memory_span_us":9000000`},
+			502, 1},
 		{"shorter deadline", []string{`"name":"checkin","target_us":2000000,"give_up_us":4000000`,
 			`"name":"checkin","target_us":1000,"give_up_us":1000`}, 502, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			upstream := newTestUpstream(t, func(net.Conn, *http.Request) bool { return false }) // closes without a response
-			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream), upMember("s-00000002", upstream))
+			upstream := newTestUpstream(t, func(net.Conn, *http.Request) bool {
+				return false // closes without a response
+			})
+			r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream),
+				upMember("s-00000002", upstream))
 			client := r.dialClient(t)
 			io.WriteString(client, checkinRequest("X-Request-Id: 1\r\nContent-Length: 4\r\nExpect: 100-continue\r\n"))
 			want(t, "status before the body", client.readResponse(t).StatusCode, 100)
@@ -338,13 +348,16 @@
 			io.WriteString(client, "body")
 			want(t, "status", client.readResponse(t).StatusCode, c.status)
 			want(t, "attempts", len(upstream.received), c.attempts)
-			r.checkOnLoop(func(l *loop) bool { want(t, "requests left", len(l.requests)+len(l.openIDs), 0); return true })
+			r.checkOnLoop(func(l *loop) bool {
+				want(t, "requests left", len(l.requests)+len(l.openIDs), 0)
+				return true
+			})
 		})
 	}
 }
 
-// Guards against an invalid or unreadable file changing anything, and against a log line that does not name the file and the
-// error.
+// TestInvalidReloadChangesNothing guards against an invalid or unreadable file changing anything, and against
+// a log line that does not name the file and the error.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
@@ -378,12 +391,15 @@
 		{replaced(`"balancers":1`, `"balancers":0`), []string{"Balancers"}},
 		{replaced(`"max_attempts":3`, `"max_attempts":"3"`), []string{"max_attempts"}},
 		{replaced(`"keepalive_us":60000000`, `"keepalive_us":0`), []string{"keepalive_us"}},
-		{replaced(`"membership_mode":"on_request"`, `"membership_mode":"by hand"`), []string{"membership_mode", "by hand"}},
+		{replaced(`"membership_mode":"on_request"`, `"membership_mode":"by hand"`),
+			[]string{"membership_mode", "by hand"}},
 		{replaced(`"name":"pay"`, `"name":"read"`), []string{"profiles", "read", "twice"}},
 		{replaced(`"repeat":"idempotency_key"`, `"repeat":"often"`), []string{"profiles", "pay", "often"}},
 		{replaced(`"memory_span_us":9000000`, `"memory_span_us":0`), []string{"pay", "DedupWindow"}},
-		{replaced(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":"2 s"`), []string{"checkin", "target_us"}},
-		{replaced(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":0`), []string{"checkin", "LatencyTarget"}},
+		{replaced(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":"2 s"`),
+			[]string{"checkin", "target_us"}},
+		{replaced(`{"name":"checkin","target_us":2000000`, `{"name":"checkin","target_us":0`),
+			[]string{"checkin", "LatencyTarget"}},
 		{withTenants(`[{"name":"t1","quota_rps":1},{"name":"t1","quota_rps":1}]`), []string{"tenants", "t1", "twice"}},
 		{withTenants(`[{"name":"t1","quota_rps":-1}]`), []string{"tenants", "t1", "Quota"}},
 		{withTenants(`{"t1":1}`), []string{"tenants", "invalid character"}},
@@ -413,7 +429,8 @@
 	want(t, "status of a class added by a valid file", status, 200)
 }
 
-// Guards against applying settings that need a restart, or ignoring them without a warning. The rest of the file applies.
+// TestReloadLogsSettingsThatNeedRestart guards against applying settings that need a restart, or ignoring
+// them without a warning. The rest of the file applies.
 func TestReloadLogsSettingsThatNeedRestart(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
@@ -421,14 +438,16 @@
 	want(t, "warnings when nothing differs", r.log.count("next start"), 0)
 	text := configTextWith(t, r.config.Discovery, nil, addingClass("parcel")...)
 	for _, x := range [][2]string{{`"name":"n0"`, `"name":"n9"`}, {`"listen":"127.0.0.1:0"`, `"listen":"127.0.0.1:1"`},
-		{`"seed":"8c1f30d27a5be964"`, `"seed":"1"`}, {`"memory_mb":192`, `"memory_mb":64`}, {`"sockets":1024`, `"sockets":512`}} {
+		{`"seed":"8c1f30d27a5be964"`, `"seed":"1"`}, {`"memory_mb":192`, `"memory_mb":64`},
+		{`"sockets":1024`, `"sockets":512`}} {
 		if !strings.Contains(text, x[0]) {
 			t.Fatalf("%s is not in the configuration", x[0])
 		}
 		text = strings.Replace(text, x[0], x[1], 1)
 	}
 	r.signalAndWait(t, r.writeConfigText(t, strings.Replace(text, `"seed"`, `"operator":"127.0.0.1:2","seed"`, 1)))
-	for _, x := range []string{"setting=name in_force=n0 in_file=n9", "setting=listen in_force=127.0.0.1:0 in_file=127.0.0.1:1",
+	for _, x := range []string{"setting=name in_force=n0 in_file=n9",
+		"setting=listen in_force=127.0.0.1:0 in_file=127.0.0.1:1",
 		`setting=operator in_force="" in_file=127.0.0.1:2`, "setting=seed in_force=8c1f30d27a5be964 in_file=1",
 		"setting=limits.memory_mb in_force=192 in_file=64", "setting=limits.sockets in_force=1024 in_file=512"} {
 		r.log.waitForLine(t, x)
@@ -439,8 +458,8 @@
 	want(t, "status of the added class", status, 200)
 }
 
-// Guards against applying part of a file, an outdated file after a newer one, or not the newest, when files and signals arrive
-// faster than reloads are applied.
+// TestReloadBurstAppliesNewestFile guards against applying part of a file, an outdated file after a newer
+// one, or not the newest, when files and signals arrive faster than reloads are applied.
 func TestReloadBurstAppliesNewestFile(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
@@ -470,7 +489,8 @@
 	close(resume)
 	want(t, "first file in force", fileNumbers[r.nextAppliedHash(t)], 1)
 	want(t, "next file in force", fileNumbers[r.nextAppliedHash(t)], 6)
-	r.log.waitForLine(t, "configuration in force", "tenants_changed=5001 tenants_gone=0", "classes_added=1 classes_changed=0 classes_gone=1")
+	r.log.waitForLine(t, "configuration in force", "tenants_changed=5001 tenants_gone=0",
+		"classes_added=1 classes_changed=0 classes_gone=1")
 	for class, status := range map[string]int{"class1": 400, "class2": 400, "class5": 400, "class6": 200} {
 		got, _ := r.do(t, r.newRequest(class, "", "X-Tenant", "last"))
 		want(t, class, got, status)
@@ -498,8 +518,8 @@
 	want(t, "status of the newest class", status, 200)
 }
 
-// Guards against losing a reload, or not reading the newest file after it, when files and signals arrive while the loop is
-// blocked.
+// TestReloadsWhileLoopIsBlocked guards against losing a reload, or not reading the newest file after it, when
+// files and signals arrive while the loop is blocked.
 func TestReloadsWhileLoopIsBlocked(t *testing.T) {
 	upstream := newTestUpstream(t, respondOK)
 	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", upstream))
@@ -529,8 +549,8 @@
 	want(t, "status of the class of the first file, "+first, status, 400)
 }
 
-// Guards against unanswered requests, or requests read with outdated settings, when SIGTERM and SIGHUP arrive together, in
-// both orders.
+// TestReloadedClassesDuringShutdown guards against unanswered requests, or requests read with outdated
+// settings, when SIGTERM and SIGHUP arrive together, in both orders.
 func TestReloadedClassesDuringShutdown(t *testing.T) {
 	for _, stopFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("stop first ", stopFirst), func(t *testing.T) {
@@ -565,7 +585,8 @@
 	}
 }
 
-// Guards against a file that changes both the settings and the address of discovery being applied in part.
+// TestReloadChangesSettingsAndDiscovery guards against a file that changes both the settings and the address
+// of discovery being applied in part.
 func TestReloadChangesSettingsAndDiscovery(t *testing.T) {
 	oldUpstream, newUpstream := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	r := newReloadableBalancer(t, func(*Config) {}, upMember("s-00000001", oldUpstream))
@@ -573,14 +594,16 @@
 	newDiscovery := newManualDiscovery(t)
 	r.signalAndWait(t, r.writeConfigText(t, configTextWith(t, newDiscovery.addr, nil, addingClass("parcel")...)))
 	want(t, "query of the first call to the new discovery", <-newDiscovery.calls, "")
-	newDiscovery.responses <- discoveryList{Revision: 3, Complete: true, Members: []member{upMember("s-00000002", newUpstream)}}
+	newDiscovery.responses <- discoveryList{Revision: 3, Complete: true,
+		Members: []member{upMember("s-00000002", newUpstream)}}
 	want(t, "query of the next call", withoutTimeout(<-newDiscovery.calls), "since=3")
 	status, _ := r.do(t, r.newRequest("parcel", ""))
 	want(t, "status of the added class", status, 200)
 	want(t, "requests to the upstream of the old list", len(oldUpstream.received), 0)
 	want(t, "requests to the upstream of the new list", len(newUpstream.received), 1)
 	// An invalid file does not change the address.
-	r.writeConfigText(t, strings.Replace(configTextWith(t, r.config.Discovery, nil, addingClass("letter")...), `"balancers":1`, `"balancers":0`, 1))
+	r.writeConfigText(t, strings.Replace(configTextWith(t, r.config.Discovery, nil, addingClass("letter")...),
+		`"balancers":1`, `"balancers":0`, 1))
 	r.hangups <- syscall.SIGHUP
 	r.log.waitForLine(t, "the old one stays")
 	r.checkOnLoop(func(l *loop) bool {
@@ -589,7 +612,8 @@
 	})
 }
 
-// Guards against the first request after a list and a reload that arrive together, in both orders, using only one of them.
+// TestSimultaneousListAndReload guards against the first request after a list and a reload that arrive
+// together, in both orders, using only one of them.
 func TestSimultaneousListAndReload(t *testing.T) {
 	for _, listFirst := range []bool{false, true} {
 		t.Run(fmt.Sprint("list first ", listFirst), func(t *testing.T) {
@@ -600,7 +624,8 @@
 			go r.checkOnLoop(func(*loop) bool { close(blocked); <-release; return true })
 			<-blocked // both wait for the loop
 			answerWithList := func() {
-				r.discovery.responses <- discoveryList{Revision: 12, Complete: true, Members: []member{upMember("s-00000002", newUpstream)}}
+				r.discovery.responses <- discoveryList{Revision: 12, Complete: true,
+					Members: []member{upMember("s-00000002", newUpstream)}}
 				r.waitUntil(t, "list queued", func() bool { return len(r.loop.listUpdates) == 1 })
 			}
 			if listFirst {
@@ -622,8 +647,8 @@
 	}
 }
 
-// Guards against lost requests of an added class, and unanswered requests in flight, when both processes of a handover
-// reload, the older one while it shuts down.
+// TestReloadDuringHandover guards against lost requests of an added class, and unanswered requests in flight,
+// when both processes of a handover reload, the older one while it shuts down.
 func TestReloadDuringHandover(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -673,18 +698,21 @@
 	older.runResult <- nil
 }
 
-// Guards against memory that is kept for the classes and tenants of earlier configurations.
+// TestMemoryAfterManyReloads guards against memory that is kept for the classes and tenants of earlier
+// configurations.
 func TestMemoryAfterManyReloads(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(i int) {
 		var profiles, tenants strings.Builder
 		for k := range 150 { // names of equal length; not close to a number at which a map grows
-			fmt.Fprintf(&profiles, `{"name":"c%04d-%03d","target_us":250000,"give_up_us":750000,"repeat":"read_like","worth":1},`, i, k)
+			fmt.Fprintf(&profiles, `{"name":"c%04d-%03d","target_us":250000,"give_up_us":750000,"repeat":"read_like","worth":1},`,
+				i, k)
 		}
 		for k := range 600 {
 			fmt.Fprintf(&tenants, `{"name":"t%04d-%03d","quota_rps":2.1},`, i, k)
 		}
-		text := configTextWith(t, "127.0.0.1:8500", nil, `"profiles":[`, `"profiles":[`+profiles.String(), `"reporting"`,
+		text := configTextWith(t, "127.0.0.1:8500", nil, `"profiles":[`, `"profiles":[`+profiles.String(),
+			`"reporting"`,
 			`"tenants":[`+tenants.String()+`{"name":"last","quota_rps":1}],"reporting"`)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -720,7 +748,8 @@
 		configReloaded{x, nil}.apply(l)
 		for k := range 50 { // without upstreams each is refused, after its class and its tenant have been used
 			q := &request{clientRequestID: "1", at: l.now(), responseCh: make(chan clientResponse, 1)}
-			q.Class, q.Tenant, q.Budget = fmt.Sprintf("c%04d-%03d", i, k), fmt.Sprintf("t%04d-%03d", i, 10*k), time.Millisecond
+			q.Class, q.Tenant, q.Budget = fmt.Sprintf("c%04d-%03d", i, k),
+				fmt.Sprintf("t%04d-%03d", i, 10*k), time.Millisecond
 			requestReceived{q}.apply(l)
 			l.reportPending()
 			if len(q.responseCh) != 1 {
@@ -732,10 +761,10 @@
 		}
 		l.clockBase += 2 * time.Second // all timers expire, and the Balancer's periodic one drops removed classes
 		l.fireTimers()
-		if i == 10 || i == 60 || i == 110 { // the least: memory left by earlier tests may still be freed
+		if i == 10 || i == 60 || i == 110 { // the minimum counts: memory left by earlier tests may still be freed
 			early = min(early, liveBytes())
 		}
-		if i == 900 || i == 950 || i == 1000 { // the least: a leak shows in each of them
+		if i == 900 || i == 950 || i == 1000 { // the minimum counts: a leak shows in each of them
 			late = min(late, liveBytes())
 		}
 	}
@@ -746,10 +775,12 @@
 	runtime.KeepAlive(reloader)
 }
 
-// Guards against decoding much of a configuration without a pause, whatever the file contains: the loop runs in the pauses.
+// TestConfigDecodingIsSliced guards against decoding much of a configuration without a pause, whatever the
+// file contains: the loop runs in the pauses.
 func TestConfigDecodingIsSliced(t *testing.T) {
 	text := largeConfigText(t, 400, 2000, 1)
-	text = strings.Replace(text, `"settings":{`, `"later":[`+strings.Repeat(`{"a":[1,2,{"b":"c"}]},`, 2000)+`0],"settings":{`, 1)
+	text = strings.Replace(text, `"settings":{`,
+		`"later":[`+strings.Repeat(`{"a":[1,2,{"b":"c"}]},`, 2000)+`0],"settings":{`, 1)
 	in := &countingReader{r: strings.NewReader(text)}
 	steps, lastRead, maxBytes := 0, 0, 0
 	d := wire.NewDecoder(in, func() {
@@ -783,8 +814,8 @@
 	return n, err
 }
 
-// Guards against slices of work that are not followed by a pause of about the same length, and against a nil workSlicer that
-// pauses.
+// TestWorkSlicerPauses guards against slices of work that are not followed by a pause of about the same
+// length, and against a nil workSlicer that panics.
 func TestWorkSlicerPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var pauses []time.Duration
@@ -842,8 +873,10 @@
 	os.Exit(m.Run())
 }
 
-// echoTimings holds, in nanoseconds and by the first byte of the echo, the time until an echo arrived and the CPU time that
-// the answering process had used by then. The other eight bytes of an echo are that process's CPU time when it was written.
+// echoTimings holds, by the first byte of the echo, the time until each echo arrived (Late) and the CPU time
+// that the answering process used from the request until it wrote the echo (Work). The first byte is '1' from
+// the signal of a reload until the next file is written, and otherwise '0'. The other eight bytes are the CPU
+// time of the process, in nanoseconds.
 type echoTimings map[string]struct{ Late, Work []time.Duration }
 
 // cpuTime returns the CPU time that a process has used; pid 0 is this process.
@@ -853,13 +886,15 @@
 		clock = ^pid<<3 | 2
 	}
 	var ts syscall.Timespec
-	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME, uintptr(clock), uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
+	if _, _, errno := syscall.Syscall(syscall.SYS_CLOCK_GETTIME,
+		uintptr(clock), uintptr(unsafe.Pointer(&ts)), 0); errno != 0 {
 		return 0, errno
 	}
 	return time.Duration(ts.Nano()), nil
 }
 
-// measureEchoes requests echoes, 0.3 ms apart, until the connection is closed, and writes their timings to standard output.
+// measureEchoes requests echoes, 0.3 ms apart, until the connection is closed, and writes their timings to
+// standard output.
 func measureEchoes(address, process string) error {
 	pid, err := strconv.Atoi(process)
 	if err != nil {
@@ -904,7 +939,9 @@
 			path := filepath.Join(b.TempDir(), "config.json")
 			text := largeConfigText(b, size[0], size[1], 1000)
 			write := func(quota int) {
-				if err := os.WriteFile(path, []byte(strings.Replace(text, `_rps":1000,`, fmt.Sprintf(`_rps":%d,`, quota), 1)), 0o600); err != nil {
+				if err := os.WriteFile(path,
+					[]byte(strings.Replace(text, `_rps":1000,`, fmt.Sprintf(`_rps":%d,`, quota), 1)),
+					0o600); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -969,7 +1006,8 @@
 				}
 			}()
 			client := exec.Command(os.Args[0])
-			client.Env = append(os.Environ(), echoAddressEnv+"="+listener.Addr().String(), fmt.Sprint(echoProcessEnv, "=", os.Getpid()))
+			client.Env = append(os.Environ(), echoAddressEnv+"="+listener.Addr().String(),
+				fmt.Sprint(echoProcessEnv, "=", os.Getpid()))
 			var output bytes.Buffer
 			client.Stdout, client.Stderr = &output, os.Stderr
 			if err := client.Start(); err != nil {
@@ -1004,7 +1042,8 @@
 			}
 			b.ReportMetric(float64(took.Milliseconds())/float64(b.N), "ms-to-force")
 			b.ReportMetric(float64(work.Milliseconds())/float64(b.N), "ms-processor")
-			for what, x := range map[string][]time.Duration{"late": timings["1"].Late, "work": timings["1"].Work, "idle-late": timings["0"].Late,
+			for what, x := range map[string][]time.Duration{"late": timings["1"].Late, "work": timings["1"].Work,
+				"idle-late": timings["0"].Late,
 				"idle-work": timings["0"].Work} {
 				slices.Sort(x)
 				b.ReportMetric(float64(x[len(x)-1].Microseconds()), "µs-"+what+"-worst")
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -91,10 +91,12 @@
 		b.sendList(50, u.member("s-00000001"))
 		synctest.Wait()
 		memoryBefore := b.memory.available.Load()
-		client := &http.Client{Transport: &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
-			return b.connectClient(), nil
-		}}}
-		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3*maxBufferedBody + 7, maxBodyBytes} {
+		client := &http.Client{Transport: &http.Transport{
+			DialContext: func(context.Context, string, string) (net.Conn, error) {
+				return b.connectClient(), nil
+			}}}
+		for _, size := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1,
+			3*maxBufferedBody + 7, maxBodyBytes} {
 			for _, chunked := range []string{"", "1"} {
 				body := numberedBytes(size)
 				request, err := http.NewRequest(http.MethodPost, "http://x/checkin", bytes.NewReader(body))
@@ -105,7 +107,8 @@
 				request.Header.Set("X-Class", "checkin")
 				if chunked != "" {
 					request.Header.Set("X-Chunks", chunked)
-					request.Body, request.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(body[:size/3]), bytes.NewReader(body[size/3:]))), -1
+					request.Body, request.ContentLength = io.NopCloser(io.MultiReader(bytes.NewReader(body[:size/3]),
+						bytes.NewReader(body[size/3:]))), -1
 				}
 				resp, err := client.Do(request)
 				if err != nil {
@@ -115,7 +118,8 @@
 				resp.Body.Close()
 				want(t, fmt.Sprintf("%d bytes, chunked %q: status", size, chunked), resp.StatusCode, 200)
 				if err != nil || sha256.Sum256(got) != sha256.Sum256(body) {
-					t.Errorf("%d bytes, chunked %q: got another body, of %d bytes, error %v", size, chunked, len(got), err)
+					t.Errorf("%d bytes, chunked %q: got another body, of %d bytes, error %v", size, chunked, len(got),
+						err)
 				}
 			}
 		}
@@ -126,8 +130,8 @@
 	})
 }
 
-// TestChunkedBodyOverLimitIsRefused guards against a chunked body over the size limit, of which an upstream might
-// accept the start as a request.
+// TestChunkedBodyOverLimitIsRefused guards against an upstream accepting the start of a chunked body over the
+// size limit as a whole request.
 func TestChunkedBodyOverLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
@@ -204,7 +208,8 @@
 	t.Parallel()
 	release := make(chan struct{})
 	for framing, tt := range map[string]struct{ head, first, rest string }{
-		"length": {fmt.Sprintf("Content-Length: %d\r\n", maxBufferedBody+10), "0123456789", strings.Repeat("x", maxBufferedBody)},
+		"length": {fmt.Sprintf("Content-Length: %d\r\n", maxBufferedBody+10), "0123456789",
+			strings.Repeat("x", maxBufferedBody)},
 		"chunks": {"Transfer-Encoding: chunked\r\n", "a\r\n0123456789\r\n", "1\r\nx\r\n0\r\n\r\n"},
 		"end":    {"", "0123456789", "x"},
 	} {
@@ -225,11 +230,12 @@
 		if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != "0123456789" {
 			t.Fatalf("%s: got first bytes %q, error %v, want 0123456789", framing, got, err)
 		}
-		b.waitUntil(t, "the deadline has passed", func() bool { return b.checkOnLoop(func(l *loop) bool { return len(l.timers) < 2 }) })
+		b.waitUntil(t, "the deadline has passed",
+			func() bool { return b.checkOnLoop(func(l *loop) bool { return len(l.timers) < 2 }) })
 		release <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || strings.Trim(string(rest), "x") != "" || len(rest) == 0 {
-			t.Errorf("%s: got %d bytes after them, error %v, want only x", framing, len(rest), err)
+			t.Errorf("%s: got %d more bytes, error %v, want some, all of them x", framing, len(rest), err)
 		}
 	}
 }
@@ -247,15 +253,16 @@
 // TestTruncatedResponseIsNotPassedAsComplete guards against ending a truncated response as if it were complete.
 func TestTruncatedResponseIsNotPassedAsComplete(t *testing.T) {
 	t.Parallel()
-	for framing, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBufferedBody), "chunks": "Transfer-Encoding: chunked\r\n",
-		"reset": ""} {
+	for framing, head := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", 4*maxBufferedBody),
+		"chunks": "Transfer-Encoding: chunked\r\n",
+		"reset":  ""} {
 		upstream := newTestUpstream(t, func(c net.Conn, _ *http.Request) bool {
 			body := string(numberedBytes(2 * maxBufferedBody))
 			if framing == "chunks" {
 				body = fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 			}
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"\r\n"+body)
-			if framing == "reset" { // the end of the connection would end this response
+			if framing == "reset" { // without a reset the close would complete this response
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			return false
@@ -272,13 +279,15 @@
 	}
 }
 
-// TestSlowUploadIsServed guards against counting the deadline, also for the upstream, from before a body's last byte.
+// TestSlowUploadIsServed guards against ending a request whose body takes longer than its deadline to arrive:
+// the deadline counts from the last byte of the body.
 func TestSlowUploadIsServed(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	const pieces, deadline = 12, 200 * time.Millisecond
-	for framing, lengthHeader := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", pieces*16<<10), "chunks": "Transfer-Encoding: chunked\r\n"} {
+	for framing, lengthHeader := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n", pieces*16<<10),
+		"chunks": "Transfer-Encoding: chunked\r\n"} {
 		client := b.dialClient(t)
 		io.WriteString(client, checkinRequest("X-Request-Id: "+framing+"\r\nX-Deadline-Ms: 200\r\n"+lengthHeader))
 		start := time.Now()
@@ -312,16 +321,21 @@
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	for name, tt := range map[string]struct{ text, status string }{
-		"length":    {checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) + string(numberedBytes(2*maxBufferedBody)), "408"},
-		"chunks":    {checkinRequest("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "408"},
-		"malformed": {checkinRequest("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "400"},
+		"length": {checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", 4*maxBufferedBody)) +
+			string(numberedBytes(2*maxBufferedBody)), "408"},
+		"chunks": {checkinRequest("X-Request-Id: 2\r\nTransfer-Encoding: chunked\r\n") +
+			fmt.Sprintf("%x\r\n%s\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "408"},
+		"malformed": {checkinRequest("X-Request-Id: 3\r\nTransfer-Encoding: chunked\r\n") +
+			fmt.Sprintf("%x\r\n%s\r\nzz\r\n", 2*maxBufferedBody, numberedBytes(2*maxBufferedBody)), "400"},
 	} {
 		if got := sendRaw(t, b.url, tt.text); !strings.HasPrefix(got, "HTTP/1.1 "+tt.status) {
-			t.Errorf("%s: got %q, want an error response", name, got)
+			t.Errorf("%s: got %q, want the error response of its case", name, got)
 		}
 	}
 	b.waitUntil(t, "requests and connections are released", func() bool {
-		return b.checkOnLoop(func(l *loop) bool { return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0 })
+		return b.checkOnLoop(func(l *loop) bool {
+			return len(l.requests) == 0 && len(l.openIDs) == 0 && l.connCount == 0
+		})
 	})
 	want(t, "requests at the upstream", len(upstream.received), 0)
 	want(t, "free body memory", b.loop.memory.available.Load(), b.config.bodyMemory())
@@ -342,7 +356,8 @@
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	client := b.dialClient(t)
 	io.WriteString(client, checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", maxBodyBytes)))
-	go io.Copy(client, io.LimitReader(zeroReader{}, 4*maxBufferedBody)) // not all of it: the client waits for the response
+	// Not all of the body: the client waits for the response.
+	go io.Copy(client, io.LimitReader(zeroReader{}, 4*maxBufferedBody))
 	resp := client.readResponse(t)
 	want(t, "status", resp.StatusCode, 503)
 	want(t, "client connection closes", resp.Close, true)
@@ -374,20 +389,22 @@
 	want(t, "attempts", attempts.Load(), int32(1))
 }
 
-// TestExpectContinue guards against a missing or repeated 100 Continue, and against sending it to a client whose request
-// is refused.
+// TestExpectContinue guards against a missing or repeated 100 Continue, and against sending it to a client
+// whose request is refused.
 func TestExpectContinue(t *testing.T) {
 	t.Parallel()
 	upstream := newTestUpstream(t, respondOK)
 	b := startBalancer(t, upMember("s-00000001", upstream))
 	client := b.dialClient(t)
-	io.WriteString(client, checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBufferedBody)))
+	io.WriteString(client, checkinRequest(
+		fmt.Sprintf("X-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", 2*maxBufferedBody)))
 	line, _ := client.reader.ReadString('\n')
 	want(t, "interim response", line, "HTTP/1.1 100 Continue\r\n")
 	client.reader.ReadString('\n')
 	client.Write(numberedBytes(2 * maxBufferedBody))
 	want(t, "status", client.readResponse(t).StatusCode, 200)
-	got := sendRaw(t, b.url, checkinRequest(fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxBodyBytes+1)))
+	got := sendRaw(t, b.url, checkinRequest(
+		fmt.Sprintf("X-Request-Id: 2\r\nExpect: 100-continue\r\nContent-Length: %d\r\n", maxBodyBytes+1)))
 	want(t, "refused with 413", strings.HasPrefix(got, "HTTP/1.1 413"), true)
 }
 
@@ -418,7 +435,8 @@
 	want(t, "free body memory", memory.available.Load(), before)
 	buffered, complete, err := memory.collect(bytes.NewReader(numberedBytes(maxBufferedBody+1)), always)
 	if complete || err != nil || len(buffered) != maxBufferedBody {
-		t.Errorf("got %d bytes buffered, complete %v, error %v", len(buffered), complete, err)
+		t.Errorf("got %d bytes buffered, complete %v, error %v, want maxBufferedBody bytes, incomplete", len(buffered),
+			complete, err)
 	}
 	memory.free(buffered)
 	want(t, "free body memory", memory.available.Load(), before)
@@ -429,7 +447,7 @@
 
 func (errReader) Read([]byte) (int, error) { return 0, errAmbiguousFraming }
 
-// TestSlowClientIsServedUnderConnectionPressure guards against evicting a client that sends its request slowly while
+// TestSlowClientIsServedAtConnLimit guards against evicting a client that sends its request slowly while
 // idle and silent connections fill the limit.
 func TestSlowClientIsServedAtConnLimit(t *testing.T) {
 	t.Parallel()
@@ -461,8 +479,9 @@
 	want(t, "status", slowClient.readResponse(t).StatusCode, 200)
 }
 
-// TestEvictionOrder guards against evicting the wrong connection: the first is one that never sent a byte, then the
-// one without progress for longest, and never one with a request in flight.
+// TestEvictionOrder guards against evicting the wrong connection. One that has sent nothing for
+// noDataEvictAfter is first, then the one without progress for longest. One with a request in flight, or a
+// new one, is never evicted.
 func TestEvictionOrder(t *testing.T) {
 	now := time.Now()
 	front := &frontend{clients: map[*client]struct{}{}}
@@ -471,7 +490,8 @@
 		t.Cleanup(func() { near.Close(); far.Close() })
 		limitedConn := &timedConn{Conn: near}
 		limitedConn.lastRead.Store(now.Add(-readAge).UnixNano())
-		c := &client{httpConn: newHTTPConn(limitedConn, 16), timed: limitedConn, stage: initialStage, requestStarted: started, stageSince: now.Add(-stageAge)}
+		c := &client{httpConn: newHTTPConn(limitedConn, 16), timed: limitedConn, stage: initialStage,
+			requestStarted: started, stageSince: now.Add(-stageAge)}
 		front.clients[c] = struct{}{}
 		return c
 	}
@@ -522,14 +542,16 @@
 				b := startBalancer(t, members...)
 				c := b.dialClient(t)
 				const size = maxBufferedBody + 2*bodyBufferSize
-				fmt.Fprintf(c, "%s%s", checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", size)), numberedBytes(size))
+				fmt.Fprintf(c, "%s%s", checkinRequest(fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", size)),
+					numberedBytes(size))
 				b.waitUntil(t, "the request is open", func() bool {
 					return b.checkOnLoop(func(l *loop) bool { return len(l.openIDs) == 1 })
 				})
 				disconnect(c.Conn.(*net.TCPConn))
 				c.Close()
 				<-b.discovery.calls
-				b.discovery.responses <- discoveryList{Revision: 11, Complete: true, Members: []member{upMember("s-00000001", upstream)}}
+				b.discovery.responses <- discoveryList{Revision: 11, Complete: true,
+					Members: []member{upMember("s-00000001", upstream)}}
 				b.waitUntil(t, "the request has ended", func() bool {
 					return b.checkOnLoop(func(l *loop) bool { return len(l.openIDs) == 0 })
 				})
