--- a/internal/proxy/loop_test.go
+++ b/internal/proxy/loop_test.go
@@ -19,6 +19,8 @@
 	plan *garnettide.Plan
 }
 
+// newLoopHarness returns a loop with the settings of settingsText, without upstreams and without a watch of
+// discovery.
 func newLoopHarness(t *testing.T) *loopHarness {
 	t.Helper()
 	c, err := loadTestConfig(t, configText, nil)
@@ -34,15 +36,16 @@
 
 // setMembers applies a complete list from discovery.
 func (h *loopHarness) setMembers(revision uint64, members ...member) {
-	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
+	h.applyListUpdate(listUpdate{from: h.discoveryClient,
+		discoveryList: discoveryList{Revision: revision, Complete: true, Members: members}})
 }
 
 // roundTrip sends a request, and applies events until it is answered and its attempts have ended.
-func (h *loopHarness) roundTrip(name string, budget time.Duration) clientResponse {
+func (h *loopHarness) roundTrip(id string, budget time.Duration) clientResponse {
 	h.t.Helper()
-	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
+	r := &request{clientRequestID: id, at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", budget
-	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {name}}}
+	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{"X-Request-Id": {id}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
 	for len(h.requests) > 0 || h.hasAttemptsInFlight() {
@@ -57,6 +60,7 @@
 	return <-r.responseCh
 }
 
+// hasAttemptsInFlight reports whether an attempt to any upstream has not ended.
 func (h *loopHarness) hasAttemptsInFlight() bool {
 	for _, u := range h.upstreams {
 		if len(u.inFlight) > 0 {
@@ -66,25 +70,28 @@
 	return false
 }
 
-// Guards against state that the loop keeps for removed upstreams and finished requests, and against using a connection of a
-// removed upstream for one with another id at the same address.
+// TestUpstreamTurnoverLeavesNoState guards against state that the loop keeps for removed upstreams and
+// finished requests, and against using a connection of a removed upstream for one with another ID at the same
+// address.
 func TestUpstreamTurnoverLeavesNoState(t *testing.T) {
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { return writeOK(c, r.Header.Get("X-Request-Id")) })
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+		return writeOK(c, r.Header.Get("X-Request-Id"))
+	})
 	go func() {
-		for range s.received {
+		for range upstream.received {
 		}
 	}()
 	h := newLoopHarness(t)
-	const ids = 2000
-	for i := range ids {
-		h.setMembers(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), s))
-		name := fmt.Sprintf("%016x", i)
-		a := h.roundTrip(name, 4*time.Second)
-		if a.status != 200 || string(a.body) != name {
-			t.Fatalf("request %d: got %d, %q", i, a.status, a.body)
+	const upstreamCount = 2000
+	for i := range upstreamCount {
+		h.setMembers(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), upstream))
+		requestID := fmt.Sprintf("%016x", i)
+		resp := h.roundTrip(requestID, 4*time.Second)
+		if resp.status != 200 || string(resp.body) != requestID {
+			t.Fatalf("request %d: got %d, %q", i, resp.status, resp.body)
 		}
 	}
-	want(t, "connections opened", s.connsOpened(), ids)
+	want(t, "connections opened", upstream.connsOpened(), upstreamCount)
 	want(t, "upstreams", len(h.upstreams), 1)
 	want(t, "assigned upstream numbers", len(h.upstreamIDs.ids), 1)
 	want(t, "taken upstream numbers", len(h.upstreamIDs.taken), 1)
@@ -96,21 +103,22 @@
 	if n := len(h.timers); n > 5 { // the Balancer's own timers
 		t.Errorf("%d timers are left, want at most 5", n)
 	}
-	h.setMembers(90000, drainingMember(upMember("s-0fffffff", s)))
-	h.applyListUpdate(listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
+	h.setMembers(90000, drainingMember(upMember("s-0fffffff", upstream)))
+	h.applyListUpdate(listUpdate{from: h.discoveryClient,
+		discoveryList: discoveryList{Revision: 90001, Members: []member{{ID: "s-0ffffffe", Phase: "removed"}}}})
 	want(t, "upstream numbers after the removal of an unlisted one", len(h.upstreamIDs.ids), 1)
 }
 
-// Guards against refusing an attempt at the connection limit while a connection to any upstream is idle: the one that has
-// been idle longest has to be closed.
-func TestOldestIdleConnectionIsEvicted(t *testing.T) {
-	one, two := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
+// TestIdleConnectionIsClosedAtConnLimit guards against failing an attempt, or exceeding the connection limit,
+// while a connection to another upstream is idle: that one has to be closed.
+func TestIdleConnectionIsClosedAtConnLimit(t *testing.T) {
+	first, second := newTestUpstream(t, respondOK), newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
 	h.maxConns = 1
-	h.setMembers(20, upMember("s-00000001", one))
+	h.setMembers(20, upMember("s-00000001", first))
 	want(t, "status of the first request", h.roundTrip("1", time.Second).status, 200)
-	h.setMembers(21, upMember("s-00000001", one), upMember("s-00000002", two))
-	for i := 0; len(two.received) == 0; i++ {
+	h.setMembers(21, upMember("s-00000001", first), upMember("s-00000002", second))
+	for i := 0; len(second.received) == 0; i++ {
 		if i > 20 {
 			t.Fatal("the second upstream got no request")
 		}
@@ -119,11 +127,11 @@
 	}
 }
 
-// Guards against taking a duplicate response that arrives late, in a segment of its own, for the response to the next
-// request.
+// TestLateDuplicateResponseIsDiscarded guards against taking a duplicate response that arrives late, in a
+// segment of its own, for the response to the next request.
 func TestLateDuplicateResponseIsDiscarded(t *testing.T) {
 	duplicated := make(chan struct{}, 2)
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool {
 		writeOK(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
 			time.Sleep(connReuseDelay / 2) // after the response, within the delay
@@ -133,18 +141,19 @@
 		return true
 	})
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", upstream))
 	want(t, "response to the first request", string(h.roundTrip("1", time.Second).body), "1")
 	<-duplicated
 	want(t, "response to the second request", string(h.roundTrip("2", time.Second).body), "2")
-	want(t, "connections opened", s.connsOpened(), 2)
+	want(t, "connections opened", upstream.connsOpened(), 2)
 }
 
-// Guards against reusing a connection before connReuseDelay, and against not reusing it afterwards.
+// TestConnReuseDelay guards against reusing a connection before connReuseDelay, and against not reusing it
+// afterwards.
 func TestConnReuseDelay(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	upstream := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", upstream))
 	want(t, "status of the first request", h.roundTrip("1", time.Second).status, 200)
 	u := h.upstreams[h.upstreamIDs.id("s-00000001")]
 	idleSince := u.idleConns[0].idleAt
@@ -154,20 +163,20 @@
 	want(t, "used after the delay", c != nil, true)
 }
 
-// Guards against keeping an upstream that was removed with an attempt in flight, or its connection, after the attempt has
-// ended.
+// TestRemovedUpstreamIsDroppedAfterItsAttempt guards against keeping an upstream that was removed with an
+// attempt in flight, or its connection, after the attempt has ended.
 func TestRemovedUpstreamIsDroppedAfterItsAttempt(t *testing.T) {
 	release := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
+	upstream := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-release; return respondOK(c, r) })
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", upstream))
 	r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
 	r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
-	<-s.received
-	h.setMembers(21, upMember("s-00000002", s))
+	<-upstream.received
+	h.setMembers(21, upMember("s-00000002", upstream))
 	want(t, "upstreams while the attempt is in flight", len(h.upstreams), 2)
 	close(release)
 	(<-h.events).apply(h.loop)
@@ -176,15 +185,16 @@
 	want(t, "connections after the attempt", h.connCount, 0)
 }
 
-// Guards against opening a connection over the limit for an attempt when no idle one can be closed.
+// TestAttemptOverConnLimitIsNotSent guards against opening a connection over the limit for an attempt when no
+// idle one can be closed.
 func TestAttemptOverConnLimitIsNotSent(t *testing.T) {
 	h := newLoopHarness(t)
 	h.maxConns = 0
-	s := newTestUpstream(t, respondOK)
-	h.setMembers(20, upMember("s-00000001", s))
+	upstream := newTestUpstream(t, respondOK)
+	h.setMembers(20, upMember("s-00000001", upstream))
 	want(t, "status", h.roundTrip("1", time.Second).status, http.StatusServiceUnavailable)
 	want(t, "connections", h.connCount, 0)
-	want(t, "connections opened", s.connsOpened(), 0)
+	want(t, "connections opened", upstream.connsOpened(), 0)
 }
 
 // delayConns delays new connections until release is closed. dialing receives the address of each one.
@@ -211,17 +221,17 @@
 }
 
 // startRequest passes a request to the loop and does not wait for its response.
-func (h *loopHarness) startRequest(class, name string, budget time.Duration) *request {
-	r := &request{clientRequestID: name, at: h.now(), responseCh: make(chan clientResponse, 1)}
+func (h *loopHarness) startRequest(class, id string, budget time.Duration) *request {
+	r := &request{clientRequestID: id, at: h.now(), responseCh: make(chan clientResponse, 1)}
 	r.Class, r.Budget = class, budget
-	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {name}}}
+	r.message = message{methodAndTarget: "GET /" + class, host: "x", header: http.Header{"X-Request-Id": {id}}}
 	requestReceived{r}.apply(h.loop)
 	h.reportPending()
 	return r
 }
 
-// Guards against writing an attempt that was waiting for its connection when its request was answered, refused, timed out
-// or abandoned by its client.
+// TestClosedRequestIsNotWritten guards against writing an attempt that was waiting for its connection when
+// its request was answered, refused, timed out or abandoned by its client.
 func TestClosedRequestIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(h *loopHarness, r *request){
 		"answered": func(h *loopHarness, r *request) { h.respond(r, clientResponse{status: http.StatusOK}) },
@@ -234,10 +244,10 @@
 		"client left": func(h *loopHarness, r *request) { clientLeft{r}.apply(h.loop) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestUpstream(t, respondOK)
+			upstream := newTestUpstream(t, respondOK)
 			h := newLoopHarness(t)
 			dialing, release := h.delayConns()
-			h.setMembers(20, upMember("s-00000001", s))
+			h.setMembers(20, upMember("s-00000001", upstream))
 			r := h.startRequest("read", "1", 100*time.Millisecond)
 			<-dialing
 			end(h, r)
@@ -245,7 +255,7 @@
 			want(t, "closed", r.closed, true)
 			close(release)
 			h.applyNextEvent() // attemptFinished, with the connection
-			want(t, "requests written", len(s.received), 0)
+			want(t, "requests written", len(upstream.received), 0)
 			want(t, "connections kept", h.connCount, 1)
 			want(t, "requests open", len(h.requests), 0)
 			want(t, "attempts in flight", r.inFlight, 0)
@@ -253,7 +263,8 @@
 	}
 }
 
-// fakeClock replaces the clock of the loop's transport, by which attempts are written, and returns it.
+// fakeClock replaces the clock by which the loop's transport checks deadlines before it writes an attempt. It
+// returns the time of the new clock in nanoseconds, which the test sets.
 func (h *loopHarness) fakeClock() *atomic.Int64 {
 	var fakeClock atomic.Int64
 	fakeClock.Store(int64(h.now()))
@@ -295,8 +306,8 @@
 	}
 }
 
-// Guards against writing a repeated attempt after its deduplication window because its connection opened late, or because
-// that of the first attempt opened last.
+// TestWriteDeadlineIsCheckedAtWrite guards against writing a repeated attempt after its deduplication window
+// because its connection opened late, or because that of the first attempt opened last.
 func TestWriteDeadlineIsCheckedAtWrite(t *testing.T) {
 	for name, c := range map[string]struct {
 		connectOrder [2]int
@@ -314,29 +325,30 @@
 	}
 }
 
-// Guards against an X-Deadline-Ms that is not the time left when the request is written, and against writing a request
-// whose deadline has passed.
+// TestDeadlineHeaderIsSetAtWrite guards against an X-Deadline-Ms that is not the time left when the request
+// is written, and against writing a request whose deadline has passed.
 func TestDeadlineHeaderIsSetAtWrite(t *testing.T) {
 	for delay, wantHeader := range map[time.Duration]string{300 * time.Millisecond: "700", time.Second: ""} {
-		s := newTestUpstream(t, respondOK)
+		upstream := newTestUpstream(t, respondOK)
 		h := newLoopHarness(t)
 		dialing, release := h.delayConns()
 		fakeClock := h.fakeClock()
-		h.setMembers(20, upMember("s-00000001", s))
+		h.setMembers(20, upMember("s-00000001", upstream))
 		r := h.startRequest("read", "1", time.Second)
 		<-dialing
 		fakeClock.Store(int64(r.attempts[0].responseDeadline - time.Second + delay))
 		close(release)
 		h.applyNextEvent()
 		if wantHeader == "" {
-			want(t, "requests written", len(s.received), 0)
+			want(t, "requests written", len(upstream.received), 0)
 		} else {
-			want(t, "X-Deadline-Ms", (<-s.received).Header.Get("X-Deadline-Ms"), wantHeader)
+			want(t, "X-Deadline-Ms", (<-upstream.received).Header.Get("X-Deadline-Ms"), wantHeader)
 		}
 	}
 }
 
-// Guards against sending a request before all queued lists are applied, including between two expired timers.
+// TestQueuedListsApplyBeforeSends guards against sending a request before the queued lists are applied, when
+// the loop handles an event or an expired timer.
 func TestQueuedListsApplyBeforeSends(t *testing.T) {
 	for name, trigger := range map[string]func(h *loopHarness, r *request){
 		"event": func(h *loopHarness, r *request) { h.handle(requestReceived{r}) },
@@ -348,12 +360,13 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestUpstream(t, respondOK)
+			upstream := newTestUpstream(t, respondOK)
 			h := newLoopHarness(t)
-			one := upMember("s-00000001", s)
+			one := upMember("s-00000001", upstream)
 			h.setMembers(20, one)
 			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 21}}
-			h.listUpdates <- listUpdate{from: h.discoveryClient, discoveryList: discoveryList{Revision: 22, Members: []member{drainingMember(one)}}}
+			h.listUpdates <- listUpdate{from: h.discoveryClient,
+				discoveryList: discoveryList{Revision: 22, Members: []member{drainingMember(one)}}}
 			r := &request{clientRequestID: "1", at: h.now(), responseCh: make(chan clientResponse, 1)}
 			r.Class, r.Budget = "checkin", time.Second
 			r.message = message{methodAndTarget: "POST /checkin", host: "x", header: http.Header{}}
@@ -363,7 +376,7 @@
 	}
 }
 
-// recordingConn reports its writes to calls, and delays read errors until releaseReads is closed.
+// recordingConn reports its writes and aborts to calls, and delays read errors until releaseReads is closed.
 type recordingConn struct {
 	*net.TCPConn
 	name         string
@@ -389,11 +402,11 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// Guards against writing the next attempt while the upstream may still execute an aborted one, however late the goroutine
-// that reads the connection closes it.
+// TestAbortPrecedesNextAttempt guards against writing the next attempt while the upstream may still execute
+// an aborted one, however late the goroutine that reads the connection closes it.
 func TestAbortPrecedesNextAttempt(t *testing.T) {
 	releaseReads := make(chan struct{})
-	s := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
+	server := newTestUpstream(t, func(c net.Conn, r *http.Request) bool { <-releaseReads; return false })
 	h := newLoopHarness(t)
 	calls, n := make(chan string, 10), 0
 	h.transport.open = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -405,10 +418,10 @@
 		return recordingConn{c.(*net.TCPConn), fmt.Sprint(n), calls, releaseReads}, nil
 	}
 	t.Cleanup(func() { close(releaseReads) })
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", server))
 	r := h.startRequest("read", "1", 4*time.Second)
 	want(t, "first call", <-calls, "1 written")
-	<-s.received
+	<-server.received
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
 	if len(r.attempts) == 1 { // the Balancer pauses before the next attempt
 		h.Send(r.ID, r.attempts[0].upstream.id, 0, 0)
@@ -417,11 +430,12 @@
 	want(t, "third call", <-calls, "2 written")
 }
 
-// Guards against reusing the connection of an attempt that is aborted just as its response arrives.
+// TestAbortedConnectionIsNotReused guards against reusing the connection of an attempt that is aborted just
+// as its response arrives.
 func TestAbortedConnectionIsNotReused(t *testing.T) {
-	s := newTestUpstream(t, respondOK)
+	server := newTestUpstream(t, respondOK)
 	h := newLoopHarness(t)
-	h.setMembers(20, upMember("s-00000001", s))
+	h.setMembers(20, upMember("s-00000001", server))
 	r := h.startRequest("read", "1", 4*time.Second)
 	e := <-h.events // the response, not applied yet
 	h.endAttempt(r.attempts[0], garnettide.Timeout)
@@ -429,19 +443,23 @@
 	want(t, "connections kept", len(h.upstreams[r.attempts[0].upstream.id].idleConns), 0)
 }
 
-// Guards against a delay before the next watch call when a watch went silent or discovery has a new address. After a
-// failed call the Balancer decides when to call again.
+// TestWatchIsReopenedImmediately guards against a delay before the next watch call when a watch went silent
+// or discovery has a new address. After a failed call the Balancer decides when to call again.
 func TestWatchIsReopenedImmediately(t *testing.T) {
 	for name, c := range map[string]struct {
 		trigger   func(h *loopHarness)
 		wantWatch bool
 	}{
-		"silent": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent}) }, true},
+		"silent": {func(h *loopHarness) {
+			h.applyListUpdate(listUpdate{from: h.discoveryClient, err: errWatchSilent})
+		}, true},
 		"new address": {func(h *loopHarness) {
 			h.stopWatch = func() {} // a watch is open
 			configReloaded{reloadOf(Config{Plan: h.plan, Discovery: "127.0.0.1:9"}), nil}.apply(h.loop)
 		}, true},
-		"failed": {func(h *loopHarness) { h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF}) }, false},
+		"failed": {func(h *loopHarness) {
+			h.applyListUpdate(listUpdate{from: h.discoveryClient, err: io.ErrUnexpectedEOF})
+		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newLoopHarness(t)
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -105,7 +105,7 @@
 // and delay other calls.
 func TestUnfinishedAdminCallsDelayNoOthers(t *testing.T) {
 	b := startBalancerWithAdmin(t, upMember("s-00000001", newTestUpstream(t, respondOK)))
-	var silent []net.Conn
+	var unfinished []net.Conn
 	for i := range 3 * maxAdminConns {
 		c, err := net.Dial("tcp", b.config.Operator)
 		if err != nil {
@@ -115,14 +115,14 @@
 		if i%2 == 0 {
 			io.WriteString(c, "PUT /control/out-of-")
 		}
-		silent = append(silent, c)
+		unfinished = append(unfinished, c)
 	}
 	start := time.Now()
 	want(t, "ready, with unfinished calls open", b.adminCall(t, "GET", "/control/ready"), 200)
 	if took := time.Since(start); took > adminCallTimeout/2 {
 		t.Errorf("the call took %v, want at most half of adminCallTimeout", took)
 	}
-	for _, c := range silent {
+	for _, c := range unfinished {
 		c.SetReadDeadline(time.Now().Add(4 * time.Second))
 		if _, err := io.Copy(io.Discard, c); err != nil { // a response may come before the close
 			if e, ok := err.(net.Error); ok && e.Timeout() {
@@ -145,7 +145,8 @@
 	return resp.StatusCode
 }
 
-// TestReadyRequiresDiscoveryList guards against a balancer that becomes ready without any upstreams.
+// TestReadyRequiresDiscoveryList guards against a balancer with an empty cached list that becomes ready
+// before discovery has answered.
 func TestReadyRequiresDiscoveryList(t *testing.T) {
 	b := startBalancerWith(t, func(c *Config) { c.Operator = "127.0.0.1:0" })
 	cfg := b.config // its cached list is empty, so it cannot serve requests
@@ -223,6 +224,7 @@
 	return &testClientConn{c, bufio.NewReader(c)}
 }
 
+// send writes a request.
 func (c *testClientConn) send(t *testing.T, r *http.Request) {
 	t.Helper()
 	if err := r.Write(c); err != nil {
@@ -254,6 +256,7 @@
 		members = append(members, upMember(id, upstreams[i]))
 	}
 	b := startBalancerWithAdmin(t, members...)
+	// sendReads sends n requests and counts the responses by body, or by status if it is not 200.
 	sendReads := func(n int) map[string]int {
 		got := map[string]int{}
 		for range n {
