--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -98,7 +98,7 @@
 func openStateFile(c *Config) (*stateFile, error) {
 	s := &stateFile{path: filepath.Join(c.StateDir, "olivearch-"+url.PathEscape(c.Name)+".json"),
 		shared: c.InheritedFD != 0}
-	// Another process that calls alone locks free slots for a moment, so each slot is tried several times.
+	// The method alone, in another process, locks free slots for a moment, so each slot is tried several times.
 	for try := 0; s.shared && s.processLock == nil && try < 10*maxProcesses; try++ {
 		s.slot = try % maxProcesses
 		var err error
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -295,7 +295,7 @@
 	for {
 		n, err := u.reader.Read(p.data())
 		if n > 0 && writeFully(a.conn, p.framed(n, inChunks)) != nil {
-			break // the upstream may have responded early: the reader finds out
+			break // the upstream may have responded early, which the reader detects
 		}
 		if err == io.EOF {
 			if inChunks && writeFully(a.conn, []byte(lastChunk)) != nil {
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -141,7 +141,7 @@
 		defer logFile.Close()
 		cmd.Stderr = logFile
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // children are killed if the run dies
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // children are killed if this process ends
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// fitTolerance is the relative root mean square error up to which a form is accepted, since repeated measurements
-	// differ by as much. A form is also accepted if its error is at most simplerFormMargin times the smallest one.
+	// fitTolerance is the relative root mean square error up to which a form is accepted. A form is also accepted if
+	// its error is at most simplerFormMargin times the smallest one.
 	fitTolerance      = 0.05
 	simplerFormMargin = 1.25
 	// MaxPointError is the relative error above which a point is reported as not fitting.
--- a/internal/scale/inprocess.go
+++ b/internal/scale/inprocess.go
@@ -685,7 +685,7 @@
 const (
 	tenantQuota      = 2.1                // requests per second
 	quotaUtilisation = 0.8                // share of the quota that the tenant requests
-	quotaWarmup      = 3000 * time.Second // several times as long as 1/950 of the quota needs for one request
+	quotaWarmup      = 3000 * time.Second // several times the mean interval of requests at 1/950 of the quota
 	quotaDuration    = 20000 * time.Second
 )
 
--- a/slowstart.go
+++ b/slowstart.go
@@ -5,8 +5,8 @@
 import "time"
 
 const (
-	coldBudgetShare  = 0.6 // share of the load that overloads a cold upstream which may be sent to it
-	coldBudgetMaxUse = 0.9 // assumed share of their budgets that the balancers of a cold upstream use at most
+	coldBudgetShare  = 0.6 // share of the load that would overload a cold upstream, up to which it is sent work
+	coldBudgetMaxUse = 0.9 // largest share of their budgets that the balancers of a cold upstream use together
 )
 
 // warmupFraction returns the fraction of its full capacity that u is sure to have. It clears u.cold after
--- a/state.go
+++ b/state.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	quotaDevs       = 2.0             // excess over a quota: standard deviations of a second's random arrivals
+	quotaDevs       = 2.0             // permitted excess over a quota, in standard deviations of a second's arrivals
 	budgetTolerance = 16              // a budget within 1/budgetTolerance of the usual one counts as equal
 	maxBudgetVotes  = 64              // most votes for the usual budget; other budgets have to outvote them
 	removalsPerTick = 256             // names that are forgotten in a tick, for each pending change of settings
--- a/subset.go
+++ b/subset.go
@@ -46,7 +46,7 @@
 	}
 	b.inUse = b.inUse[:0]
 	for _, u := range b.upstreams {
-		if chosen[u] && !u.inSubset { // random phases keep balancers from sending and probing in step
+		if chosen[u] && !u.inSubset { // random phases keep balancers from sending and probing at the same time
 			phase := b.rng.Float64()
 			u.limit, u.integratedAt, u.nextTurn = cmp.Or(u.limit, b.initialLimit), now, b.virtualTime+phase*target
 			u.pausedUntil = max(u.pausedUntil, now+time.Duration(phase*float64(b.pause(u))))
